--- a/siskinbank/relay/entry.py
+++ b/siskinbank/relay/entry.py
@@ -1,4 +1,4 @@
-"""The entry: takes clients' packets and sends each to the host of its flow."""
+"""The entry process: forwards clients' packets to the hosts of their flows."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 from siskinbank.relay.gossip import Gossip
 from siskinbank.relay.handover import Handover
 from siskinbank.relay.node import Node
-from siskinbank.relay.seeker import Seeker
+from siskinbank.relay.seeker import FlowSearcher
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
@@ -40,46 +40,52 @@
 
 __all__ = ('Entry',)
 
-_SWEEP_S = 5.0
-# Packets kept while the process learns where to send them, and for how long,
-# in seconds: clients give up a flow that is not answered within 1.4 s.
-_MOST_EARLY = 256
-_EARLY_S = 1.0
-# A process that started this long ago, in seconds, has heard of all hosts
-# that it can hear of.
-_YOUNG_S = 0.6
-# How long after the first host others are waited for, in seconds: several
-# ways to the farthest data centre and back.
-_GATHER_S = 0.06
-# A first packet is placed this often when sidecars refuse it.
-_MOST_PLACINGS = 3
-# A planned stop: routers leave a node out after two failed probes, half a
-# second apart; in seconds.
-_LINGER_S = 1.2
+_SWEEP_INTERVAL_S = 5.0
+# Packets queued until routes and hosts are known, and how long they stay in
+# the queue, in seconds: clients abandon a flow that is not answered within
+# 1.4 s.
+_MAX_EARLY_PACKETS = 256
+_EARLY_PACKET_TTL_S = 1.0
+# Time after the start of the process, in seconds, by which all reachable hosts
+# are known.
+_DISCOVERY_TIMEOUT_S = 0.6
+# Wait for further hosts after the first status update, in seconds: several
+# round trips to the most distant data centre.
+_DISCOVERY_WAIT_S = 0.06
+# Placements of a first packet, including those after a refusal by a sidecar.
+_MAX_PLACEMENTS = 3
+# Delay of a planned stop, in seconds: routers stop sending packets to a node
+# after two failed probes, half a second apart.
+_STOP_DELAY_S = 1.2
 _MS = 1000
 
 
 class Entry:
-    """One entry process."""
+    """An entry process."""
 
     def __init__(self, node: Node) -> None:
-        """Open the port for clients' packets and join the others.
+        """Initialize the entry, open its port and join the other entries.
+
+        Args:
+            node: The process that runs the entry.
 
         Raises:
-            OSError: the port cannot be had.
+            OSError: If the port for clients' packets can't be opened.
         """
         self._node = node
         settings = node.settings
         self._data_centre = messages.digest(settings.data_centre)
         self._started = node.loop.now
         self._flows = FlowCache()
-        self._early: list[tuple[float, bytes]] = []
-        self._settled = False
+        self._early_packets: list[tuple[float, bytes]] = []
+        self._discovery_done = False
         self._hosts = HostBeliefs()
-        self._follower = Follower(node, self._hosts_read, self._operator_read)
-        self._handover = Handover(node, self._follower, self._configured)
+        self._follower = Follower(
+            node, self._on_hosts_read, self._on_operator_read
+        )
+        self._handover = Handover(node, self._follower, self._on_configuration)
         self._gossip = Gossip(node, self._hosts, self._follower, self._handover)
-        self._seeker = Seeker(
+        self._searcher = FlowSearcher(
             node,
             self._hosts,
             self._follower,
@@ -89,43 +95,43 @@
         self._clients = open_datagrams((settings.ip, settings.packet_port))
         node.ready = self._is_ready
         node.stopping = self._begin_stop
-        node.handlers[messages.HELD] = self._hear_held
-        node.handlers[messages.KEPT] = self._hear_kept
-        node.handlers[messages.ABSENT] = self._hear_absent
-        node.handlers[messages.REFUSED] = self._hear_refused
-        node.handlers[messages.STATUS] = self._hear_status
-        node.loop.watch(self._clients.fileno(), self._receive)
-        node.loop.every(_SWEEP_S, self._sweep)
-        node.loop.every(_GATHER_S, self._serve_early)
+        node.handlers[messages.HELD] = self._handle_held
+        node.handlers[messages.KEPT] = self._handle_kept
+        node.handlers[messages.ABSENT] = self._handle_absent
+        node.handlers[messages.REFUSED] = self._handle_refused
+        node.handlers[messages.STATUS] = self._handle_status
+        node.loop.watch(self._clients.fileno(), self._read_clients)
+        node.loop.every(_SWEEP_INTERVAL_S, self._sweep)
+        node.loop.every(_DISCOVERY_WAIT_S, self._process_early_packets)
         node.loop.on_stall(self._hosts.excuse)
         self._follower.check()
 
-    # Packets of clients.
+    # Packets from clients.
 
-    def _receive(self, events: int) -> None:
-        read_datagrams(self._clients, MAX_PACKET_BYTES + 1, self._check)
+    def _read_clients(self, events: int) -> None:
+        read_datagrams(self._clients, MAX_PACKET_BYTES + 1, self._check_packet)
 
-    def _check(self, packet: bytes, address: tuple[str, int]) -> None:
+    def _check_packet(self, packet: bytes, address: tuple[str, int]) -> None:
         problem = problem_of(packet)
         if problem:
             self._node.meters.count(f'packets_refused_{problem}_total')
         else:
-            self._take(packet)
+            self._handle_packet(packet)
 
-    def _take(self, packet: bytes) -> None:
+    def _handle_packet(self, packet: bytes) -> None:
         if flags_of(packet) & SYN:
-            self._open(packet)
+            self._open_flow(packet)
             return
         key = packet[FLOW_KEY]
         flow = self._flows.get(key)
         if flow is None:
-            self._search(key, packet)
+            self._search_host(key, packet)
             return
         now = self._node.loop.now
         flow.seen = now
         if flow.contested:
             flow.settle(sequence_numbers(packet)[1])
-        if self._seeker.is_lost(key, flow.ip):
+        if self._searcher.is_lost(key, flow.ip):
             self._reset(packet, 'host-gone')
             return
         wrap = messages.carry if flow.held else messages.search
@@ -133,24 +139,24 @@
 
     # First packets.
 
-    def _open(self, packet: bytes) -> None:
+    def _open_flow(self, packet: bytes) -> None:
         key = packet[FLOW_KEY]
         flow = self._flows.get(key)
         if flow and flow.held:
-            # Our answer was lost or is under way: the same host repeats it.
+            # The answer is lost or in transit; the same host sends it again.
             opening = messages.Opening(self._node.packed_ip, packet)
             self._node.send(flow.ip, opening.pack())
             return
-        if not self._knows():
-            self._keep_early(packet)
+        if not self._is_discovery_done():
+            self._queue_early_packet(packet)
             return
         route = self._route(key)
         if route is None or not route.shares:
             self._reset(packet, 'no-route')
             return
-        self._place(packet, route, flow)
+        self._place_flow(packet, route, flow)
 
-    def _place(
+    def _place_flow(
         self,
         packet: bytes,
         route: Route,
@@ -158,12 +164,12 @@
     ) -> None:
         key = packet[FLOW_KEY]
         now = self._node.loop.now
-        draw = crc32(key)
-        service = route.service_for(draw)
+        flow_hash = crc32(key)
+        service = route.service_for(flow_hash)
         hosts = self._hosts.of_service(messages.digest(service))
         ordered = order(
             hosts,
-            draw,
+            flow_hash,
             self._data_centre,
             now,
         )
@@ -203,9 +209,13 @@
         packet: bytes,
         hosts: list[HostBelief],
     ) -> None:
-        """No host takes new flows; a young process may not know them yet."""
-        if self._node.loop.now - self._started < _YOUNG_S:
-            self._keep_early(packet)
+        """Refuse a first packet that no host accepts.
+
+        Shortly after the start hosts may not be known yet; the packet is
+        queued then.
+        """
+        if self._node.loop.now - self._started < _DISCOVERY_TIMEOUT_S:
+            self._queue_early_packet(packet)
             return
         states = [host.status.state for host in hosts]
         copy = sequence_numbers(packet)[1]
@@ -220,80 +230,82 @@
             copy=copy,
         )
 
-    def _knows(self) -> bool:
-        """Say whether routes and hosts are known.
+    def _is_discovery_done(self) -> bool:
+        """Return whether routes and hosts are known.
 
-        Load pattern: after a loss of power all callers come at once; the
-        first host that is heard of would get them all.
+        Load pattern: after a power loss all callers connect at once, and the
+        first host from which a status is received would get all flows.
         """
         if not self._follower.configuration.version or not self._hosts:
             return False
-        if self._settled:
+        if self._discovery_done:
             return True
         now = self._node.loop.now
-        first_heard = min(host.heard_first for host in self._hosts.all())
+        first_status_at = min(host.heard_first for host in self._hosts.all())
         registered = self._follower.hosts
         known = bool(registered) and all(map(self._hosts.get, registered))
-        self._settled = known or now - first_heard > _GATHER_S
-        return self._settled
+        self._discovery_done = (
+            known or now - first_status_at > _DISCOVERY_WAIT_S
+        )
+        return self._discovery_done
 
     def _route(self, key: bytes) -> Route | None:
         return self._follower.configuration.routes.get(route_key(key))
 
-    def _keep_early(self, packet: bytes) -> None:
-        if len(self._early) < _MOST_EARLY:
-            self._early.append((self._node.loop.now, packet))
+    def _queue_early_packet(self, packet: bytes) -> None:
+        if len(self._early_packets) < _MAX_EARLY_PACKETS:
+            self._early_packets.append((self._node.loop.now, packet))
         else:
             self._node.meters.count('packets_early_dropped_total')
 
-    def _serve_early(self) -> None:
-        if self._early and self._knows():
-            early, self._early = self._early, []
-            edge = self._node.loop.now - _EARLY_S
-            for came, packet in early:
-                if came > edge:
-                    self._take(packet)
+    def _process_early_packets(self) -> None:
+        if self._early_packets and self._is_discovery_done():
+            early, self._early_packets = self._early_packets, []
+            cutoff = self._node.loop.now - _EARLY_PACKET_TTL_S
+            for received_at, packet in early:
+                if received_at > cutoff:
+                    self._handle_packet(packet)
 
     def _reset(self, packet: bytes, reason: str) -> None:
         self._flows.drop(packet[FLOW_KEY])
         version = self._follower.configuration.version
         self._node.reset_flow(self._clients, packet, reason, version=version)
 
-    def _search(self, key: bytes, packet: bytes) -> None:
-        if not self._knows():
-            self._keep_early(packet)
+    def _search_host(self, key: bytes, packet: bytes) -> None:
+        if not self._is_discovery_done():
+            self._queue_early_packet(packet)
         elif not flags_of(packet) & RST:
-            # A client that resets a flow is done with it.
-            self._seeker.seek(key, packet)
+            # No search for a flow that the client has reset.
+            self._searcher.search(key, packet)
 
-    # Words of sidecars.
+    # Messages from sidecars.
 
-    def _hear_held(self, raw: bytes, ip: str) -> None:
+    def _handle_held(self, raw: bytes, ip: str) -> None:
         key, number, established = messages.read_flow_note(raw)
         flow = self._flows.get(key)
         if flow is None:
             flow = self._flows.add(key, ip, self._node.loop.now)
         flow.hold(ip, number, bool(established))
-        for packet in self._seeker.found(key, ip):
+        for packet in self._searcher.finish(key, ip):
             self._node.send(ip, messages.carry(packet))
 
-    def _hear_kept(self, raw: bytes, ip: str) -> None:
+    def _handle_kept(self, raw: bytes, ip: str) -> None:
         key, _, _ = messages.read_flow_note(raw)
         flow = self._flows.get(key)
         if flow and not flow.held:
             flow.kept_at = ip
 
-    def _hear_absent(self, raw: bytes, ip: str) -> None:
+    def _handle_absent(self, raw: bytes, ip: str) -> None:
         key, _, _ = messages.read_flow_note(raw)
         packet = raw[messages.FLOW_NOTE_BYTES :]
-        if self._seeker.absent(key, ip):
+        if self._searcher.note_absent(key, ip):
             return
         flow = self._flows.get(key)
         if flow and flow.ip == ip and len(packet) >= HEAD_BYTES:
             self._flows.drop(key)
-            self._search(key, packet)
+            self._search_host(key, packet)
 
-    def _hear_refused(self, raw: bytes, ip: str) -> None:
+    def _handle_refused(self, raw: bytes, ip: str) -> None:
         key, _, reason = messages.read_flow_note(raw)
         packet = raw[messages.FLOW_NOTE_BYTES :]
         flow = self._flows.get(key)
@@ -312,12 +324,12 @@
         host = self._hosts.get(ip)
         if host and reason not in reasons.PASSING:
             host.status.state = reason
-        if tries < _MOST_PLACINGS and reason in reasons.LOCAL:
-            self._open(packet)
+        if tries < _MAX_PLACEMENTS and reason in reasons.LOCAL:
+            self._open_flow(packet)
         elif refusal_is_final(reason, sequence_numbers(packet)[1]):
             self._reset(packet, name)
 
-    def _hear_status(self, raw: bytes, ip: str) -> None:
+    def _handle_status(self, raw: bytes, ip: str) -> None:
         status = messages.Status.read(raw)
         self._gossip.sidecars.add(inet_aton(ip))
         if self._hosts.hear(ip, status, self._node.loop.now):
@@ -329,29 +341,29 @@
                 record_age_ms=status.record_age_ms,
             )
         self._handover.ask_if_newer(status.version, ip)
-        self._serve_early()
+        self._process_early_packets()
 
-    # The store, and the life of the process.
+    # Store updates, readiness and shutdown.
 
-    def _hosts_read(self) -> None:
+    def _on_hosts_read(self) -> None:
         self._gossip.tell_records()
 
-    def _configured(self) -> None:
+    def _on_configuration(self) -> None:
         self._gossip.tell_of_change()
-        self._serve_early()
+        self._process_early_packets()
 
-    def _operator_read(self) -> None:
-        self._configured()
+    def _on_operator_read(self) -> None:
+        self._on_configuration()
         if self._follower.hosts_revision:
             self._gossip.tell_records()
 
     def _is_ready(self) -> bool:
-        return self._knows() and not self._gossip.stopping
+        return self._is_discovery_done() and not self._gossip.stopping
 
     def _begin_stop(self) -> None:
         self._gossip.stopping = True
         self._gossip.tell()
-        self._node.loop.after(_LINGER_S, self._node.stop)
+        self._node.loop.after(_STOP_DELAY_S, self._node.stop)
 
     def _sweep(self) -> None:
         self._flows.sweep(self._node.loop.now)
--- a/siskinbank/relay/handover.py
+++ b/siskinbank/relay/handover.py
@@ -1,4 +1,4 @@
-"""The configuration on its way from one entry to another."""
+"""Transfer of the configuration between entries."""
 
 from __future__ import annotations
 
@@ -16,49 +16,55 @@
 
 __all__ = ('Handover',)
 
-# Bytes of a configuration in one datagram: fits any link unbroken.
+# Bytes of configuration per datagram: fits any link without IP fragmentation.
 _PIECE_BYTES = 1100
-# Pauses between questions, in seconds: several ways there and back.
-_ASK_S = 0.1
+# Minimum interval between requests, in seconds: several round trips.
+_REQUEST_INTERVAL_S = 0.1
 
 
 class Handover:
-    """Asks peers for a newer configuration, and gives them the own one."""
+    """Fetches newer configurations from peers and serves the own one."""
 
     __slots__ = (
-        '_asked',
         '_follower',
         '_node',
+        '_on_change',
+        '_pending_version',
         '_pieces',
-        '_taken',
-        '_version',
+        '_requested_at',
     )
 
     def __init__(
         self,
         node: Node,
         follower: Follower,
-        taken: Callable[[], None],
+        on_change: Callable[[], None],
     ) -> None:
-        """Serve the questions of peers from now on."""
+        """Initialize the transfer and register its message handlers.
+
+        Args:
+            node: The process that runs the entry.
+            follower: Holds the configuration in force.
+            on_change: Called after a newer configuration was accepted.
+        """
         self._node = node
         self._follower = follower
-        self._taken = taken
-        self._asked = NEVER
-        self._version = 0
+        self._on_change = on_change
+        self._requested_at = NEVER
+        self._pending_version = 0
         self._pieces: dict[int, bytes] = {}
-        node.handlers[messages.ASK_CONFIGURATION] = self._give
-        node.handlers[messages.CONFIGURATION] = self._hear_piece
+        node.handlers[messages.ASK_CONFIGURATION] = self._handle_request
+        node.handlers[messages.CONFIGURATION] = self._handle_piece
 
     def ask_if_newer(self, version: int, ip: str) -> None:
-        """Ask a peer that knows a newer version for it."""
+        """Request the configuration of a peer that has a newer version."""
         now = self._node.loop.now
         newer = version > self._follower.configuration.version
-        if newer and now - self._asked > _ASK_S:
-            self._asked = now
+        if newer and now - self._requested_at > _REQUEST_INTERVAL_S:
+            self._requested_at = now
             self._node.send(ip, bytes((messages.ASK_CONFIGURATION,)))
 
-    def _give(self, raw: bytes, ip: str) -> None:
+    def _handle_request(self, raw: bytes, ip: str) -> None:
         configuration = self._follower.configuration
         if not configuration.version:
             return
@@ -73,25 +79,27 @@
             )
             self._node.send(ip, piece)
 
-    def _hear_piece(self, raw: bytes, ip: str) -> None:
+    def _handle_piece(self, raw: bytes, ip: str) -> None:
         version, index, count, piece = messages.read_piece(raw)
-        known = max(self._follower.configuration.version, self._version - 1)
+        known = max(
+            self._follower.configuration.version, self._pending_version - 1
+        )
         if version <= known:
             return
-        if version > self._version:
-            self._version = version
+        if version > self._pending_version:
+            self._pending_version = version
             self._pieces = {}
         self._pieces[index] = piece
         if len(self._pieces) == count:
             whole = b''.join(self._pieces[step] for step in range(count))
             self._pieces = {}
-            self._offer(whole, ip)
+            self._apply(whole, ip)
 
-    def _offer(self, packed: bytes, ip: str) -> None:
+    def _apply(self, packed: bytes, ip: str) -> None:
         follower = self._follower
         before = follower.configuration.version
         try:
-            taken = follower.configuration.offer_packed(packed)
+            accepted = follower.configuration.offer_packed(packed)
         except Unreadable as error:
             self._node.log(
                 'configuration.refused',
@@ -99,6 +107,6 @@
                 reason=no_blanks(error),
             )
             return
-        if taken:
+        if accepted:
             follower.note_configuration(before, ip)
-            self._taken()
+            self._on_change()
--- a/siskinbank/relay/openings.py
+++ b/siskinbank/relay/openings.py
@@ -1,4 +1,4 @@
-"""First packets of clients: where one goes that reaches a sidecar."""
+"""Admission of new flows at a sidecar."""
 
 from __future__ import annotations
 
@@ -26,85 +26,85 @@
 
     from siskinbank.beliefs.own_host import OwnHost
     from siskinbank.relay.node import Node
-    from siskinbank.relay.reports import Reports
+    from siskinbank.relay.reports import StatusReporter
     from siskinbank.sidecar.held_flows import HeldFlow
 
-__all__ = ('Openings', 'whole_packet')
+__all__ = ('FlowAdmission', 'check_packet_head')
 
-# A flow is passed on at most this often.
-_MOST_HOPS = 8
-# Free slots of a host that would shed another request.
-_NO_ROOM = -1000
-# Kept flows are looked at this often, in seconds, besides each end of a
-# request: as long as a usual request.
-_LOOK_S = 0.03
+# Maximum number of times that a first packet is forwarded.
+_MAX_HOPS = 8
+# Number of free slots reported for a host that would shed another request.
+_NO_FREE_SLOTS = -1000
+# Interval at which the pending queue is checked, in seconds, in addition to the
+# check at the end of each request: the usual duration of a request.
+_QUEUE_CHECK_INTERVAL_S = 0.03
 _MS = 1000
 
 
-class Openings:
-    """Takes new flows for one host, keeps them, or passes them on.
+class FlowAdmission:
+    """Accepts, queues, forwards or refuses new flows for a host.
 
     Attributes:
-        room: the flows kept until a slot is free.
+        queue: The pending queue: first packets that wait for a free slot.
     """
 
     __slots__ = (
+        '_check_scheduled',
         '_deliver',
         '_flows',
         '_host',
-        '_looking',
         '_node',
-        '_reports',
+        '_reporter',
         '_waiting',
-        'room',
+        'queue',
     )
 
     def __init__(
         self,
         node: Node,
         host: OwnHost,
-        reports: Reports,
+        reporter: StatusReporter,
         flows: dict[bytes, HeldFlow],
         waiting: dict[bytes, Waiting],
         deliver: Callable[[bytes], None],
     ) -> None:
-        """Hear first packets from now on.
+        """Initialize flow admission and register the message handler.
 
         Args:
-            node: the process.
-            host: what is known of the host.
-            reports: tells the entries.
-            flows: the flows that the host holds, by key.
-            waiting: packets that the host has not answered, by flow key.
-            deliver: hands a packet to the host.
+            node: The process that runs the sidecar.
+            host: The known state of the host.
+            reporter: Sends status updates to the entries.
+            flows: The flows that the host holds, by flow key.
+            waiting: Packets that the host has not answered, by flow key.
+            deliver: Called to send a packet to the host.
         """
-        self.room = WaitingRoom()
-        self._looking = False
+        self.queue = WaitingRoom()
+        self._check_scheduled = False
         self._node = node
         self._host = host
-        self._reports = reports
+        self._reporter = reporter
         self._flows = flows
         self._waiting = waiting
         self._deliver = deliver
-        node.handlers[messages.OPEN] = self._hear_open
+        node.handlers[messages.OPEN] = self._handle_open
 
-    def take_back(self, key: bytes, waiting: Waiting | None) -> None:
-        """Note that the host does not take a flow."""
+    def note_host_refusal(self, key: bytes, waiting: Waiting | None) -> None:
+        """Handle a first packet that the host has refused."""
         self._host.arriving.end(key)
         if self._host.refusing.note_refusal(self._node.loop.now):
             self._node.log('host.refusing', flows=len(self._flows))
-            self._reports.tell()
+            self._reporter.send_status()
         if waiting and waiting.opening:
-            self._pass_on(key, waiting.opening, reasons.HOST_REFUSED)
+            self._forward(key, waiting.opening, reasons.HOST_REFUSED)
 
     def count_in_time(self) -> int:
-        """Count the kept flows that a new one would find before it."""
+        """Return the number of queued flows that precede a new one."""
         now = self._node.loop.now
-        return self.room.count_in_time(now, self._host.work.seconds)
+        return self.queue.count_in_time(now, self._host.work.seconds)
 
     def release(self) -> None:
-        """Hand kept flows to the host while it has slots for them."""
-        if not self.room:
+        """Send queued flows to the host while it has free slots."""
+        if not self.queue:
             return
         now = self._node.loop.now
         host = self._host
@@ -112,126 +112,130 @@
         if reason == reasons.COLD:
             return
         if reason:
-            for key, kept in self.room.clear():
-                self._pass_on(key, kept.opening, reason)
+            for key, queued in self.queue.clear():
+                self._forward(key, queued.opening, reason)
             return
         while host.spare(now) != 0:
-            found = self.room.next(now, host.work.seconds, self._free(now))
+            found = self.queue.next(
+                now, host.work.seconds, self._free_slots(now)
+            )
             if found is None:
                 return
             self._admit(*found)
 
-    def _hear_open(self, raw: bytes, ip: str) -> None:
+    def _handle_open(self, raw: bytes, ip: str) -> None:
         opening = messages.Opening.read(raw)
-        packet = whole_packet(opening.packet)
+        packet = check_packet_head(opening.packet)
         key = packet[FLOW_KEY]
         entry = inet_ntoa(opening.entry)
         self._host.version = max(self._host.version, opening.version)
-        self._reports.note_entry(entry)
+        self._reporter.note_entry(entry)
         flow = self._flows.get(key)
         if flow:
             flow.entry = entry
         if flow or key in self._waiting:
-            # A copy of what the host has already.
+            # A retransmission of a packet that the host has already.
             self._deliver(packet)
             return
-        kept = self.room.get(key)
-        if kept:
-            kept.opening = opening
+        queued = self.queue.get(key)
+        if queued:
+            queued.opening = opening
             return
         now = self._node.loop.now
         reason = self._host.reason_against(opening.service, now)
         if reason:
-            self._pass_on(key, opening, reason)
+            self._forward(key, opening, reason)
         else:
-            self._place(key, opening)
+            self._queue_or_forward(key, opening)
 
-    def _place(self, key: bytes, opening: messages.Opening) -> None:
+    def _queue_or_forward(self, key: bytes, opening: messages.Opening) -> None:
         now = self._node.loop.now
         host = self._host
-        left = bool(opening.candidates) and opening.hops < _MOST_HOPS
+        has_candidates = bool(opening.candidates) and opening.hops < _MAX_HOPS
         unknown = not host.is_trusted(now) and not host.may_prove_itself(now)
-        if left and unknown:
-            self._pass_on(key, opening, reasons.BUSY)
+        if has_candidates and unknown:
+            self._forward(key, opening, reasons.BUSY)
             return
         copy = sequence_numbers(opening.packet)[1]
         sent = now - sent_ago_s(copy)
-        kept = KeptOpening(opening, now, sent, opening.aim_ms / _MS)
-        wait = self._wait_s(kept)
+        queued = KeptOpening(opening, now, sent, opening.aim_ms / _MS)
+        wait = self._wait_s(queued)
         best = opening.best_wait_s
-        where = where_to_wait(wait, opening.limit_ms / _MS, best, left)
-        if where == 'here':
-            self._keep(key, kept)
+        decision = where_to_wait(
+            wait, opening.limit_ms / _MS, best, has_candidates
+        )
+        if decision == 'here':
+            self._queue_opening(key, queued)
             return
-        if where == 'back':
-            # There it stays.
+        if decision == 'back':
+            # That host queues or refuses the flow; it is not forwarded again.
             opening.candidates = [opening.best]
             opening.best_wait_ms = messages.MOST_WAIT_MS
         elif wait is not None and (best is None or wait < best):
             opening.best = self._node.packed_ip
             opening.best_wait_ms = messages.wait_ms(wait)
         reason = reasons.BUSY if opening.is_hopeless else reasons.FULL
-        self._pass_on(key, opening, reason)
+        self._forward(key, opening, reason)
 
-    def _wait_s(self, kept: KeptOpening) -> float | None:
-        """Return how long a flow would wait here, None if there is no room."""
-        if self.room.full:
+    def _wait_s(self, queued: KeptOpening) -> float | None:
+        """Return the wait here in seconds, or None if the queue is full."""
+        if self.queue.full:
             return None
         now = self._node.loop.now
         host = self._host
-        ahead = self.room.ahead_of(kept, now, host.work.seconds)
+        ahead = self.queue.ahead_of(queued, now, host.work.seconds)
         return host.wait_s(now, ahead)
 
-    def _keep(self, key: bytes, kept: KeptOpening) -> None:
-        self.room.keep(key, kept)
+    def _queue_opening(self, key: bytes, queued: KeptOpening) -> None:
+        self.queue.keep(key, queued)
         self.release()
-        if not self.room.get(key):
+        if not self.queue.get(key):
             return
-        opening = kept.opening
+        opening = queued.opening
         self._node.meters.count('flows_kept_total')
         self._node.log(
             'flow.kept',
             flow=describe(key),
-            kept=len(self.room),
+            kept=len(self.queue),
             busy=self._host.busy,
             copy=sequence_numbers(opening.packet)[1],
             hops=opening.hops,
         )
         note = messages.flow_note(messages.KEPT, key, 0)
         self._node.send(inet_ntoa(opening.entry), note)
-        self._look_later()
+        self._schedule_check()
 
-    def _free(self, now: float) -> int:
-        """Return the slots without a request, below 0 for those that wait."""
+    def _free_slots(self, now: float) -> int:
+        """Return the free slots, below 0 if requests wait for a slot."""
         host = self._host
         if host.is_full(now):
-            return _NO_ROOM
+            return _NO_FREE_SLOTS
         return host.slots - host.expected(now)
 
-    def _look_later(self) -> None:
-        if not self._looking:
-            self._looking = True
-            self._node.loop.after(_LOOK_S, self._look)
+    def _schedule_check(self) -> None:
+        if not self._check_scheduled:
+            self._check_scheduled = True
+            self._node.loop.after(_QUEUE_CHECK_INTERVAL_S, self._check_queue)
 
-    def _look(self) -> None:
-        """See what becomes of the flows that are kept."""
-        self._looking = False
+    def _check_queue(self) -> None:
+        """Drop flows that clients have abandoned and admit queued ones."""
+        self._check_scheduled = False
         now = self._node.loop.now
-        for key, kept in self.room.drop_given_up(now):
+        for key, queued in self.queue.drop_given_up(now):
             self._node.meters.count('flows_given_up_total')
             self._node.log(
                 'flow.refused',
                 flow=describe(key),
                 reason='client-gave-up',
-                kept_ms=int((now - kept.since) * _MS),
+                kept_ms=int((now - queued.since) * _MS),
             )
         self.release()
-        if self.room:
-            self._look_later()
+        if self.queue:
+            self._schedule_check()
 
-    def _admit(self, key: bytes, kept: KeptOpening) -> None:
+    def _admit(self, key: bytes, queued: KeptOpening) -> None:
         now = self._node.loop.now
-        opening = kept.opening
+        opening = queued.opening
         host = self._host
         host.note_taken(key, now)
         waiting = Waiting(inet_ntoa(opening.entry), now, opening.packet)
@@ -241,8 +245,8 @@
             'flow.taken',
             flow=describe(key),
             busy=host.busy,
-            kept_ms=int((now - kept.since) * _MS),
-            kept=len(self.room),
+            kept_ms=int((now - queued.since) * _MS),
+            kept=len(self.queue),
             flows=len(self._flows),
             hops=opening.hops,
             version=opening.version,
@@ -251,7 +255,7 @@
         )
         self._deliver(opening.packet)
 
-    def _pass_on(
+    def _forward(
         self,
         key: bytes,
         opening: messages.Opening,
@@ -259,10 +263,10 @@
     ) -> None:
         host = self._host
         name = reasons.name_of(reason)
-        passing = bool(opening.candidates) and opening.hops <= _MOST_HOPS
+        can_forward = bool(opening.candidates) and opening.hops <= _MAX_HOPS
         self._node.meters.count(f'flows_not_taken_{name}_total')
         self._node.log(
-            'flow.passed' if passing else 'flow.refused',
+            'flow.passed' if can_forward else 'flow.refused',
             flow=describe(key),
             reason=name,
             busy=host.busy,
@@ -271,7 +275,7 @@
             revision=host.revision,
             age_ms=host.age_ms(self._node.loop.now),
         )
-        if passing:
+        if can_forward:
             opening.hops += 1
             self._node.send(opening.pop_next(), opening.pack())
             return
@@ -279,12 +283,12 @@
         self._node.send(inet_ntoa(opening.entry), note + opening.packet)
 
 
-def whole_packet(packet: bytes) -> bytes:
-    """Return a packet that has at least a head.
+def check_packet_head(packet: bytes) -> bytes:
+    """Return a packet unchanged if it has a complete head.
 
     Raises:
-        Malformed: it has not.
+        Malformed: If the packet is too short.
     """
     if len(packet) < HEAD_BYTES:
-        raise messages.Malformed('no packet')
+        raise messages.Malformed('packet is shorter than its head')
     return packet
--- a/siskinbank/relay/reports.py
+++ b/siskinbank/relay/reports.py
@@ -1,4 +1,4 @@
-"""What a sidecar tells the entries of its host."""
+"""Status updates from a sidecar to the entries."""
 
 from __future__ import annotations
 
@@ -15,35 +15,36 @@
     from siskinbank.beliefs.own_host import OwnHost
     from siskinbank.relay.node import Node
 
-__all__ = ('Reports',)
+__all__ = ('StatusReporter',)
 
-# Words to the entries, in seconds: a third of the time after which an entry
-# takes a sidecar for silent.
-_STATUS_S = 0.4
-# Words go to this many entries a turn at most; the next turn is others'.
-_MOST_ENTRIES = 32
-# Entries not heard of for this long get no more words, in seconds.
-_FORGET_S = 30.0
-# Whoever may know more is greeted this often, in seconds.
-_GREET_S = 0.5
-_SWEEP_S = 5.0
-_MOST_COUNT = 0xFFFF
+# Interval of status updates, in seconds: a third of the time after which an
+# entry treats a sidecar as silent.
+_STATUS_INTERVAL_S = 0.4
+# Maximum number of entries per turn; the next turn goes to further entries.
+_MAX_ENTRIES_PER_TURN = 32
+# An entry without a message for this time, in seconds, gets no more updates.
+_ENTRY_TTL_S = 30.0
+# Interval of hellos, in seconds, while the sidecar has no entries or no record
+# of its host.
+_HELLO_INTERVAL_S = 0.5
+_SWEEP_INTERVAL_S = 5.0
+_MAX_COUNT = 0xFFFF
 
-_HELLO_OF_SIDECAR = bytes((messages.HELLO, 1))
+_SIDECAR_HELLO = bytes((messages.HELLO, 1))
 
 
-class Reports:
-    """Speaks to the entries for one sidecar."""
+class StatusReporter:
+    """Sends status updates and hellos to the entries."""
 
     __slots__ = (
         '_count_flows',
-        '_count_kept',
+        '_count_queued',
         '_data_centre',
         '_entries',
         '_host',
+        '_next_entry',
         '_node',
         '_pace',
-        '_told',
     )
 
     def __init__(
@@ -51,63 +52,73 @@
         node: Node,
         host: OwnHost,
         count_flows: Callable[[], int],
-        count_kept: Callable[[], int],
+        count_queued: Callable[[], int],
     ) -> None:
-        """Greet the seeds and report from now on."""
+        """Initialize the reporter, send hellos and start the timers.
+
+        Args:
+            node: The process that runs the sidecar.
+            host: The known state of the host.
+            count_flows: Returns the number of flows that the host holds.
+            count_queued: Returns the number of queued flows that precede a new
+                one.
+        """
         self._node = node
         self._host = host
         self._count_flows = count_flows
-        self._count_kept = count_kept
+        self._count_queued = count_queued
         self._data_centre = messages.digest(node.settings.data_centre)
         self._entries: dict[str, float] = {}
-        self._told = 0
-        node.handlers[messages.HELLO] = self._hear_hello
-        node.handlers[messages.PEERS] = self._hear_peers
-        node.loop.every(_STATUS_S, self.tell)
-        self._pace = GreetingPace(node.loop.now, _GREET_S)
-        node.loop.every(LOOK_S, self._greet_when_due)
-        node.loop.every(_SWEEP_S, self._sweep)
-        self._greet()
+        self._next_entry = 0
+        node.handlers[messages.HELLO] = self._handle_hello
+        node.handlers[messages.PEERS] = self._handle_peers
+        node.loop.every(_STATUS_INTERVAL_S, self.send_status)
+        self._pace = GreetingPace(node.loop.now, _HELLO_INTERVAL_S)
+        node.loop.every(LOOK_S, self._send_hellos_when_due)
+        node.loop.every(_SWEEP_INTERVAL_S, self._sweep)
+        self._send_hellos()
 
     def note_entry(self, ip: str) -> None:
-        """Note that an entry lives."""
+        """Record that an entry is alive."""
         self._entries[ip] = self._node.loop.now
 
-    def tell(self) -> None:
-        """Tell the entries how the host is."""
+    def send_status(self) -> None:
+        """Send a status update to the entries of this turn."""
         datagram = self._status().pack()
         entries = list(self._entries)
-        if self._told >= len(entries):
-            self._told = 0
-        turn = entries[self._told : self._told + _MOST_ENTRIES]
-        self._told += _MOST_ENTRIES
+        if self._next_entry >= len(entries):
+            self._next_entry = 0
+        turn = entries[
+            self._next_entry : self._next_entry + _MAX_ENTRIES_PER_TURN
+        ]
+        self._next_entry += _MAX_ENTRIES_PER_TURN
         for ip in turn:
             self._node.send(ip, datagram)
 
-    def _greet_when_due(self) -> None:
+    def _send_hellos_when_due(self) -> None:
         if self._pace.is_due(self._node.loop.now):
-            self._greet()
+            self._send_hellos()
 
-    def _greet(self) -> None:
+    def _send_hellos(self) -> None:
         if self._host.record and self._entries:
             return
         for ip in set(self._entries).union(self._node.settings.seeds):
-            self._node.send(ip, _HELLO_OF_SIDECAR)
+            self._node.send(ip, _SIDECAR_HELLO)
 
-    def _hear_hello(self, raw: bytes, ip: str) -> None:
+    def _handle_hello(self, raw: bytes, ip: str) -> None:
         self.note_entry(ip)
         self._node.send(ip, self._status().pack())
-        # Seeds may be down: entries also find each other through sidecars.
+        # Seeds may be down, so entries also discover each other by sidecars.
         entries = [inet_aton(entry) for entry in self._entries]
         peers = messages.pack_addresses(messages.PEERS, entries, [])
         self._node.send(ip, peers)
 
-    def _hear_peers(self, raw: bytes, ip: str) -> None:
+    def _handle_peers(self, raw: bytes, ip: str) -> None:
         self.note_entry(ip)
         status = self._status().pack()
         entries, _ = messages.read_peers(raw)
-        names = [inet_ntoa(packed) for packed in entries]
-        for entry in names:
+        addresses = [inet_ntoa(packed) for packed in entries]
+        for entry in addresses:
             if entry not in self._entries:
                 self.note_entry(entry)
                 self._node.send(entry, status)
@@ -118,9 +129,9 @@
         status = messages.Status(host.service, self._data_centre)
         status.state = host.state(now)
         status.slots = host.slots
-        expected = host.expected(now) + self._count_kept()
-        status.busy = min(expected, _MOST_COUNT)
-        status.flows = min(self._count_flows(), _MOST_COUNT)
+        expected = host.expected(now) + self._count_queued()
+        status.busy = min(expected, _MAX_COUNT)
+        status.flows = min(self._count_flows(), _MAX_COUNT)
         status.version = host.version
         status.trusted = host.is_trusted(now)
         if host.record:
@@ -128,7 +139,9 @@
         return status
 
     def _sweep(self) -> None:
-        edge = self._node.loop.now - _FORGET_S
-        silent = [ip for ip, heard in self._entries.items() if heard < edge]
+        cutoff = self._node.loop.now - _ENTRY_TTL_S
+        silent = [
+            ip for ip, last_seen in self._entries.items() if last_seen < cutoff
+        ]
         for ip in silent:
             self._entries.pop(ip, NEVER)
--- a/siskinbank/relay/request_watch.py
+++ b/siskinbank/relay/request_watch.py
@@ -1,4 +1,4 @@
-"""Follows the requests that a host works on, for load and for the logs."""
+"""Tracks the requests in progress at a host, for its load and for the logs."""
 
 from __future__ import annotations
 
@@ -12,28 +12,36 @@
     from siskinbank.relay.node import Node
     from siskinbank.sidecar.held_flows import HeldFlow, Request
 
-__all__ = ('RequestWatch',)
+__all__ = ('RequestTracker',)
 
 _MS = 1000
-# An answer follows the end of its flow within this, in seconds: both lie on
-# the machine's own network.
-_LAST_WORDS_S = 0.01
+# Time for which an answer may arrive after the end of its flow, in seconds:
+# both cross only the machine's own network.
+_ANSWER_GRACE_S = 0.01
 
 
-class RequestWatch:
-    """Counts requests in progress and logs how each one ends."""
+class RequestTracker:
+    """Counts requests in progress and logs the outcome of each.
+
+    Attributes:
+        on_end: Called after a request has ended, as a slot may be free.
+    """
 
     __slots__ = ('_host', '_node', 'on_end')
 
     def __init__(self, node: Node, host: OwnHost) -> None:
-        """Watch the requests of one host."""
-        #: Called when a slot may be free.
+        """Initialize the tracker.
+
+        Args:
+            node: The process that runs the sidecar.
+            host: The known state of the host.
+        """
         self.on_end: Callable[[], object] = bool
         self._node = node
         self._host = host
 
-    def take_packet(self, key: bytes, flow: HeldFlow, packet: bytes) -> None:
-        """Follow a client's packet."""
+    def track_packet(self, key: bytes, flow: HeldFlow, packet: bytes) -> None:
+        """Process a packet from a client, which may start a request."""
         before = flow.request
         request = flow.take_packet(packet, self._node.loop.now)
         if request is None:
@@ -52,13 +60,13 @@
             busy=host.busy,
         )
 
-    def take_answer(self, key: bytes, flow: HeldFlow, packet: bytes) -> None:
-        """Follow a host's packet."""
+    def track_answer(self, key: bytes, flow: HeldFlow, packet: bytes) -> None:
+        """Process a packet from the host, which may end a request."""
         now = self._node.loop.now
         answer = flow.take_answer(packet, now)
         if answer is None:
             if flow.request and flags_of(packet) & (FIN | RST):
-                self._expect_end(key, flow, flow.request)
+                self._schedule_end(key, flow, flow.request)
             return
         if not answer.executed:
             self._host.room.note_shed(self._host.busy - 1, now)
@@ -66,44 +74,44 @@
         self.end(key, flow, answer.status)
 
     def end(self, key: bytes, flow: HeldFlow, outcome: str) -> None:
-        """Note that the request of a flow is over, if it has one."""
+        """End the request of a flow, if there is one."""
         request = flow.request
         if request is None:
             return
         flow.request = None
         host = self._host
         host.busy -= 1
-        took = self._node.loop.now - request.began
+        duration = self._node.loop.now - request.began
         if not request.waited and outcome.isdigit():
-            host.work.note(took)
+            host.work.note(duration)
         self._node.meters.count('requests_ended_total')
-        self._node.meters.time('request_seconds', took)
+        self._node.meters.time('request_seconds', duration)
         self._node.log(
             'request.end',
             id=request.name,
             flow=describe(key),
             outcome=outcome,
-            ms=int(took * _MS),
+            ms=int(duration * _MS),
             busy=host.busy,
         )
         self.on_end()
 
-    def _expect_end(
+    def _schedule_end(
         self,
         key: bytes,
         flow: HeldFlow,
         request: Request,
     ) -> None:
-        """End a request whose host closes the flow.
+        """End a request after a delay, as its host has closed the flow.
 
-        Load pattern: callers that close their side with the request, and
-        hosts that close theirs without an answer; each request would count as
-        work until the flow is idle. An answer may follow the end of its flow,
-        as packets overtake each other.
+        Load pattern: callers close their side with the request, and hosts
+        close theirs without an answer. Each such request would count as load
+        until the idle timeout of its flow. The delay is for an answer that
+        arrives after the end of its flow because packets are reordered.
         """
 
         def end_if_unanswered() -> None:
             if flow.request is request:
                 self.end(key, flow, 'cut')
 
-        self._node.loop.after(_LAST_WORDS_S, end_if_unanswered)
+        self._node.loop.after(_ANSWER_GRACE_S, end_if_unanswered)
--- a/siskinbank/relay/seeker.py
+++ b/siskinbank/relay/seeker.py
@@ -1,7 +1,8 @@
-"""Finds the host of a flow that an entry does not know, or that there is none.
+"""Search for the host of a flow that is missing in the cache of an entry.
 
-Sidecars are asked first, with a few bytes; those that have watched their host
-for too short a time are sent the packet itself, and the host decides.
+Sidecars are queried first, with a few bytes for each flow. Sidecars that have
+watched their host for too short a time to answer get the packet itself, so
+that the host decides. A flow that no host holds is reset.
 """
 
 from __future__ import annotations
@@ -29,40 +30,45 @@
     from siskinbank.relay.gossip import Gossip
     from siskinbank.relay.node import Node
 
-__all__ = ('Seeker',)
+__all__ = ('FlowSearcher',)
 
-# A sidecar that said nothing for this long may have left with its host, in
-# seconds: one word missed.
-_DOUBT_S = 0.6
-# A list of hosts older than this, in seconds, cannot say that one is gone.
-_FRESH_LIST_S = 1.5
-# Questions that come within this, in seconds, go out together.
-_GATHER_S = 0.01
-# Pause after a round of questions for each host asked, in seconds: a question
-# and its answer cost a sixth of a core a third of that.
-_PAUSE_A_HOST_S = 0.001
-# The longest such pause, in seconds: half of a client's first repetition.
-_LONGEST_PAUSE_S = 0.1
-# Silent hosts named in one line of the log.
-_MOST_NAMED = 4
+# A host is suspected to be gone after this time without a status update, in
+# seconds: one missed update.
+_SUSPECT_AFTER_S = 0.6
+# Maximum age of a listing of the hosts, in seconds, from which the absence of a
+# host is inferred.
+_MAX_LIST_AGE_S = 1.5
+# Queries that arise within this time, in seconds, are sent together.
+_BATCH_S = 0.01
+# Pause after a round of queries for each queried host, in seconds: a query and
+# its answer take a third of this time on a sixth of a core.
+_PAUSE_PER_HOST_S = 0.001
+# Maximum pause between rounds, in seconds: half of a client's first
+# retransmission timeout.
+_MAX_PAUSE_S = 0.1
+# Unresponsive hosts listed in one log line.
+_MAX_LOGGED_HOSTS = 4
 
 
-class Seeker:
-    """Searches for one entry, and knows which hosts are gone."""
+class FlowSearcher:
+    """Searches of an entry for the hosts of unknown flows.
+
+    It also decides which hosts are gone.
+    """
 
     __slots__ = (
-        '_asked_at',
         '_follower',
-        '_gathering',
         '_gossip',
         '_hosts',
+        '_last_round_at',
         '_node',
-        '_pause_s',
-        '_questions',
+        '_queries',
         '_reset',
+        '_round_pause_s',
+        '_round_scheduled',
         '_searches',
         '_started',
-        '_unsure',
+        '_unsure_hosts',
     )
 
     def __init__(
@@ -73,14 +79,15 @@
         gossip: Gossip,
         reset: Callable[[bytes, str], None],
     ) -> None:
-        """Search with what this entry knows.
+        """Initialize the searcher and register its message handlers.
 
         Args:
-            node: the process.
-            hosts: what sidecars say.
-            follower: what the store says.
-            gossip: has the store read when an answer needs it.
-            reset: ends the flow of a packet, for a reason.
+            node: The process that runs the entry.
+            hosts: The known state of the hosts, from their sidecars.
+            follower: The state read from the store.
+            gossip: Requests a read of the store when a search needs it.
+            reset: Called to reset the flow of a packet, with the packet and
+                the reason.
         """
         self._node = node
         self._started = node.loop.now
@@ -89,17 +96,17 @@
         self._gossip = gossip
         self._reset = reset
         self._searches = Searches()
-        self._questions: dict[str, list[bytes]] = {}
-        self._unsure: dict[bytes, list[bytes]] = {}
-        self._asked_at = NEVER
-        self._pause_s = _GATHER_S
-        self._gathering = False
-        node.handlers[messages.NOT_HELD] = self._hear_not_held
-        node.handlers[messages.UNSURE] = self._hear_unsure
-        node.loop.every(ASK_AGAIN_S, self._go_on)
-
-    def seek(self, key: bytes, packet: bytes) -> None:
-        """Look for the host of a packet's flow."""
+        self._queries: dict[str, list[bytes]] = {}
+        self._unsure_hosts: dict[bytes, list[bytes]] = {}
+        self._last_round_at = NEVER
+        self._round_pause_s = _BATCH_S
+        self._round_scheduled = False
+        node.handlers[messages.NOT_HELD] = self._handle_not_held
+        node.handlers[messages.UNSURE] = self._handle_unsure
+        node.loop.every(ASK_AGAIN_S, self._continue_searches)
+
+    def search(self, key: bytes, packet: bytes) -> None:
+        """Start a search for the host of a packet's flow, or join one."""
         search = self._searches.get(key)
         if search:
             search.keep(packet)
@@ -117,19 +124,19 @@
         hosts = self._hosts_of(route)
         self._node.meters.count('searches_total')
         self._node.log('flow.search', flow=describe(key), asked=len(hosts))
-        self._ask(key, search, hosts)
-        self._send_in_time()
+        self._queue_query(key, search, hosts)
+        self._schedule_round()
 
-    def found(self, key: bytes, ip: str) -> list[bytes]:
-        """End a search; return the packets that wait for its end."""
+    def finish(self, key: bytes, ip: str) -> list[bytes]:
+        """End a successful search and return the packets queued for it."""
         search = self._searches.end(key)
         if search is None:
             return []
         self._node.log('flow.found', flow=describe(key), host=ip)
         return [search.first, *search.waiting]
 
-    def absent(self, key: bytes, ip: str) -> bool:
-        """Note that a host does not hold a flow; say if it was asked."""
+    def note_absent(self, key: bytes, ip: str) -> bool:
+        """Note that a host doesn't hold a flow; return whether it is sought."""
         search = self._searches.get(key)
         if search is None:
             return False
@@ -137,24 +144,24 @@
             route = self._route(key)
             hosts = self._hosts_of(route) if route else []
             if not search.unanswered(_addresses(hosts)):
-                self._end_if_nowhere(key, search, hosts, route)
+                self._end_if_not_held(key, search, hosts, route)
         return True
 
     def has_left(self, ip: str) -> bool:
-        """Say whether a host fell silent and has no entry in the store."""
+        """Return whether a host is silent and has no entry in the store."""
         host = self._hosts.get(ip)
         now = self._node.loop.now
-        if host is None or now - host.heard < _DOUBT_S:
+        if host is None or now - host.heard < _SUSPECT_AFTER_S:
             return False
         if not host.has_left(now):
             host.left = self._is_unregistered(ip)
         return host.left
 
     def is_lost(self, key: bytes, ip: str) -> bool:
-        """Say whether a flow that a host held has gone with it."""
+        """Return whether a flow is lost because its host is gone."""
         host = self._hosts.get(ip)
-        if host and self._node.loop.now - host.heard < _DOUBT_S:
-            # Nearly every packet: nothing else needs a look.
+        if host and self._node.loop.now - host.heard < _SUSPECT_AFTER_S:
+            # The common case, taken for nearly every packet.
             return False
         if self.has_left(ip):
             return True
@@ -162,71 +169,74 @@
         return (
             route is not None
             and not self._may_answer(ip, route)
-            and not self._is_cut_off(route)
+            and not self._is_isolated(route)
         )
 
     def _is_unregistered(self, ip: str) -> bool:
-        """Say whether the store has lost a host that does not answer."""
+        """Return whether an unresponsive host is absent from the store."""
         follower = self._follower
-        if self._node.loop.now - follower.hosts_seen > _FRESH_LIST_S:
-            # Whoever's turn it is to read: this flow needs to know.
+        if self._node.loop.now - follower.hosts_seen > _MAX_LIST_AGE_S:
+            # This flow needs a fresh listing, whichever process is the current
+            # reader.
             self._gossip.want_hosts()
             return False
         return ip not in follower.hosts and follower.trusts_absence()
 
-    def _ask(self, key: bytes, search: Search, hosts: list[HostBelief]) -> None:
-        """Put a flow on the list of questions to its hosts."""
+    def _queue_query(
+        self, key: bytes, search: Search, hosts: list[HostBelief]
+    ) -> None:
+        """Add a flow to the pending queries of its hosts."""
         heard = {host.ip: host.heard for host in hosts}
         for ip in search.to_ask(heard, self._node.loop.now):
-            self._questions.setdefault(ip, []).append(key)
+            self._queries.setdefault(ip, []).append(key)
 
-    def _send_in_time(self) -> None:
-        """Ask now, or when the last round is long enough ago."""
-        pause = self._asked_at + self._pause_s - self._node.loop.now
+    def _schedule_round(self) -> None:
+        """Send the queries now, or after the pause since the last round."""
+        pause = self._last_round_at + self._round_pause_s - self._node.loop.now
         if pause <= 0:
-            self._send_questions()
-        elif not self._gathering:
-            self._gathering = True
-            self._node.loop.after(pause, self._send_questions)
+            self._send_queries()
+        elif not self._round_scheduled:
+            self._round_scheduled = True
+            self._node.loop.after(pause, self._send_queries)
 
-    def _send_questions(self) -> None:
-        """Ask each host for all flows on its list at once.
+    def _send_queries(self) -> None:
+        """Send the pending queries, batched by host.
 
-        Load pattern: a loss of power leaves hundreds of flows to be searched
-        for at many hosts, on entries with thin links.
+        Load pattern: after a power loss there are hundreds of flows to search
+        for at many hosts, on entries with low-bandwidth links.
         """
-        self._gathering = False
-        if not self._questions:
+        self._round_scheduled = False
+        if not self._queries:
             return
-        self._asked_at = self._node.loop.now
-        questions, self._questions = self._questions, {}
-        pause = len(questions) * _PAUSE_A_HOST_S
-        self._pause_s = min(max(pause, _GATHER_S), _LONGEST_PAUSE_S)
-        for ip, keys in questions.items():
+        self._last_round_at = self._node.loop.now
+        queries, self._queries = self._queries, {}
+        pause = len(queries) * _PAUSE_PER_HOST_S
+        self._round_pause_s = min(max(pause, _BATCH_S), _MAX_PAUSE_S)
+        for ip, keys in queries.items():
             for start in range(0, len(keys), messages.MOST_KEYS):
                 some = keys[start : start + messages.MOST_KEYS]
                 datagram = messages.pack_keys(messages.ASK_FLOWS, some)
                 self._node.send(ip, datagram)
 
-    def _hear_not_held(self, raw: bytes, ip: str) -> None:
+    def _handle_not_held(self, raw: bytes, ip: str) -> None:
         for key in messages.read_keys(raw):
-            self.absent(key, ip)
+            self.note_absent(key, ip)
 
-    def _hear_unsure(self, raw: bytes, ip: str) -> None:
-        """A sidecar cannot tell: its host shall, by the packet itself."""
-        if not self._unsure:
-            self._node.loop.after(_GATHER_S, self._send_packets)
+    def _handle_unsure(self, raw: bytes, ip: str) -> None:
+        """Schedule sending the packet to a host whose sidecar can't answer."""
+        if not self._unsure_hosts:
+            self._node.loop.after(_BATCH_S, self._send_packets)
         for key in messages.read_keys(raw):
-            self._unsure.setdefault(key, []).append(inet_aton(ip))
+            self._unsure_hosts.setdefault(key, []).append(inet_aton(ip))
 
     def _send_packets(self) -> None:
-        """Let one sidecar hand each packet on to the hosts of all others.
+        """Send each packet to one sidecar, which relays it to the others.
 
-        Load pattern: after a loss of power no sidecar can tell; some hundred
-        packets to dozens of hosts each would fill an entry's thin link for
-        longer than clients wait.
+        Load pattern: after a power loss no sidecar can answer. Sending some
+        hundred packets to dozens of hosts each would saturate an entry's
+        low-bandwidth link for longer than clients wait.
         """
-        unsure, self._unsure = self._unsure, {}
+        unsure, self._unsure_hosts = self._unsure_hosts, {}
         for key, hosts in unsure.items():
             search = self._searches.get(key)
             if search is None:
@@ -240,7 +250,7 @@
                 )
                 self._node.send(inet_ntoa(first), datagram)
 
-    def _go_on(self) -> None:
+    def _continue_searches(self) -> None:
         now = self._node.loop.now
         hosts_by_route: dict[Route | None, list[HostBelief]] = {None: []}
         for key, search in self._searches.going_on(now):
@@ -248,7 +258,7 @@
             if route not in hosts_by_route:
                 hosts_by_route[route] = self._hosts_of(route) if route else []
             hosts = hosts_by_route[route]
-            if self._end_if_nowhere(key, search, hosts, route):
+            if self._end_if_not_held(key, search, hosts, route):
                 continue
             if self._searches.is_overdue(search, now):
                 self._searches.end(key)
@@ -256,44 +266,44 @@
                 self._node.log(
                     'flow.absent',
                     flow=describe(key),
-                    silent=','.join(silent[:_MOST_NAMED]) or '-',
+                    silent=','.join(silent[:_MAX_LOGGED_HOSTS]) or '-',
                     count=len(silent),
                 )
             else:
-                self._ask(key, search, hosts)
-        self._send_in_time()
+                self._queue_query(key, search, hosts)
+        self._schedule_round()
 
-    def _end_if_nowhere(
+    def _end_if_not_held(
         self,
         key: bytes,
         search: Search,
         hosts: list[HostBelief],
         route: Route | None,
     ) -> bool:
-        """End a flow if all hosts that may hold it have said no."""
-        if route and not self._all_have_left(search, hosts, route):
+        """End a search and reset the flow if no host can hold it."""
+        if route and not self._are_missing_hosts_gone(search, hosts, route):
             return False
         self._searches.end(key)
         self._reset(search.first, 'no-host-holds-it')
         return True
 
-    def _all_have_left(
+    def _are_missing_hosts_gone(
         self,
         search: Search,
         hosts: list[HostBelief],
         route: Route,
     ) -> bool:
-        """Say whether all hosts that have not answered are gone."""
+        """Return whether all hosts that have not answered are gone."""
         if not self._follower.hosts_revision:
             return False
         asked = search.unanswered(_addresses(hosts))
         unclear = [
             ip
-            for ip in asked + self._never_heard(route)
+            for ip in asked + self._never_seen(route)
             if not self._is_unregistered(ip)
         ]
         return not unclear or (
-            not self._is_cut_off(route)
+            not self._is_isolated(route)
             and not any(self._may_answer(ip, route) for ip in unclear)
         )
 
@@ -304,12 +314,15 @@
         pause_s = host.pause_s if host else 0
         return may_still_answer(silent_s, route.repeatable, pause_s)
 
-    def _is_cut_off(self, route: Route) -> bool:
-        """Say whether it is rather this process that nobody reaches."""
-        edge = self._node.loop.now - SILENT_S
+    def _is_isolated(self, route: Route) -> bool:
+        """Return whether this process is isolated.
+
+        More than half of the route's hosts are silent or unknown then.
+        """
+        cutoff = self._node.loop.now - SILENT_S
         hosts = self._hosts_of(route)
-        silent = sum(1 for host in hosts if host.heard < edge)
-        unknown = len(self._never_heard(route))
+        silent = sum(1 for host in hosts if host.heard < cutoff)
+        unknown = len(self._never_seen(route))
         return (silent + unknown) * 2 > len(hosts) + unknown
 
     def _route(self, key: bytes) -> Route | None:
@@ -322,8 +335,8 @@
             hosts.extend(self._hosts.of_service(messages.digest(service)))
         return [host for host in hosts if not self.has_left(host.ip)]
 
-    def _never_heard(self, route: Route) -> list[str]:
-        """Return hosts with an entry in the store whose sidecar is unknown."""
+    def _never_seen(self, route: Route) -> list[str]:
+        """Return the hosts in the store without a status update so far."""
         services = {service for service, _ in route.shares}
         return [
             ip
--- a/tests/relay/test_reports.py
+++ b/tests/relay/test_reports.py
@@ -1,4 +1,4 @@
-"""Tests of what a sidecar tells the entries, without sockets."""
+"""Tests of status updates from a sidecar to entries, without sockets."""
 
 import unittest
 from types import SimpleNamespace
@@ -6,18 +6,18 @@
 
 from siskinbank.beliefs.own_host import OwnHost
 from siskinbank.relay.loop import Loop
-from siskinbank.relay.reports import Reports
+from siskinbank.relay.reports import StatusReporter
 
 ENTRIES = [f'10.0.0.{number}' for number in range(100)]
-# Turns within which each of a hundred entries hears a word.
+# Turns within which each of a hundred entries gets a status update.
 TURNS = 4
 
 
 class TestTurns(unittest.TestCase):
-    """Load pattern: more entries than are told in a turn."""
+    """Load pattern: more entries than get a status update in a turn."""
 
-    def test_every_entry_is_told(self) -> None:
-        """Replay: a hundred entries; none is left out for good."""
+    def test_every_entry_gets_status_updates(self) -> None:
+        """Each of a hundred entries gets updates, and does so repeatedly."""
         sent: list[str] = []
         node: Any = SimpleNamespace(
             loop=Loop(),
@@ -25,11 +25,11 @@
             settings=SimpleNamespace(data_centre='a', seeds=()),
             send=lambda ip, _datagram: sent.append(ip),
         )
-        reports = Reports(node, OwnHost(1, 100, 0), int, int)
+        reporter = StatusReporter(node, OwnHost(1, 100, 0), int, int)
         for entry in ENTRIES:
-            reports.note_entry(entry)
+            reporter.note_entry(entry)
         for _ in range(2):
             sent.clear()
             for _ in range(TURNS):
-                reports.tell()
+                reporter.send_status()
             self.assertEqual(set(sent), set(ENTRIES))
--- a/tests/relay/test_seeker.py
+++ b/tests/relay/test_seeker.py
@@ -1,4 +1,4 @@
-"""Tests of what searches cost an entry."""
+"""Tests of the CPU time and bandwidth that searches take at an entry."""
 
 import time
 import unittest
@@ -9,42 +9,42 @@
 from siskinbank.platform.records import Route
 from siskinbank.relay import messages
 from siskinbank.relay.loop import Loop
-from siskinbank.relay.seeker import Seeker
+from siskinbank.relay.seeker import FlowSearcher
 
 SERVICE = 'matcher'
 ROUTE_KEY = bytes((198, 18, 0, 1, 1, 187))
 HOSTS = 60
 FLOWS = 25
-# Searches of one entry for the flows that a loss of power took from it, on a
-# sixth of a core: within the second until clients repeat their packets.
-MOST_S = 0.015
-# A tenth of a second of the thinnest link, 5 Mbit/s.
-MOST_BYTES = 62500
-# Questions a second that leave a sixth of a core two thirds of its time.
-MOST_QUESTIONS = 1100
+# CPU time of an entry for all its searches after a power loss, in seconds: on a
+# sixth of a core they end within the second until clients retransmit.
+MAX_CPU_S = 0.015
+# A tenth of a second on the slowest link, 5 Mbit/s.
+MAX_BYTES = 62500
+# Queries per second that leave two thirds of the time of a sixth of a core.
+MAX_QUERIES = 1100
 
 
 def flow_key(number: int) -> bytes:
-    """Return the key of a flow to the one route."""
+    """Return the key of a flow of the only route."""
     client = bytes((100, 64, 0, number))
     return client + ROUTE_KEY[:4] + bytes((4, 0)) + ROUTE_KEY[4:]
 
 
 def packet_of(key: bytes) -> bytes:
-    """Return a packet of a flow; only its key matters."""
+    """Return a packet of a flow in which only the key is set."""
     return bytes(13) + key + bytes(6)
 
 
-class Site:
-    """An entry's surroundings without sockets.
+class Environment:
+    """The environment of a flow searcher without sockets.
 
     Attributes:
-        sent: datagrams and the addresses that they went to.
-        resets: reasons why flows were ended.
+        sent: Datagrams sent, each with its destination address.
+        resets: Reasons for which flows were reset.
     """
 
     def __init__(self) -> None:
-        """Know all hosts, each with an entry in the store."""
+        """Create a searcher with all hosts known and present in the store."""
         self.sent: list[tuple[str, bytes]] = []
         self.resets: list[str] = []
         loop = Loop()
@@ -52,8 +52,8 @@
         registered = {}
         for number in range(HOSTS):
             ip = f'10.0.0.{number + 1}'
-            word = messages.Status(messages.digest(SERVICE), 1)
-            hosts.hear(ip, word, loop.now)
+            status = messages.Status(messages.digest(SERVICE), 1)
+            hosts.hear(ip, status, loop.now)
             registered[ip] = SimpleNamespace(service=SERVICE)
         node: Any = SimpleNamespace(
             loop=loop,
@@ -74,74 +74,80 @@
         gossip: Any = SimpleNamespace(want_hosts=bool)
         self.handlers = node.handlers
         self.loop = loop
-        self.seeker = Seeker(node, hosts, follower, gossip, self._reset)
+        self.searcher = FlowSearcher(node, hosts, follower, gossip, self._reset)
 
     def run_timers(self) -> None:
-        """Call whatever is due."""
+        """Run the timers that are due."""
         self.loop._run_timers()  # noqa: SLF001
 
     def _log(self, event: str, **_inputs: object) -> None:
-        """Keep no log."""
+        """Ignore a log event."""
 
     def _reset(self, _packet: bytes, reason: str) -> None:
         self.resets.append(reason)
 
 
-class TestCost(unittest.TestCase):
-    """Load pattern: a loss of power took all flows; every host answers."""
+class TestSearchCost(unittest.TestCase):
+    """Load pattern: a power loss ended all flows, and every host answers."""
 
     def test_answers_are_cheap(self) -> None:
-        """Replay: 25 flows, 60 hosts, 1,500 answers."""
-        site = Site()
+        """CPU time is bounded with 25 flows, 60 hosts and 1,500 answers."""
+        env = Environment()
         for number in range(FLOWS):
             key = flow_key(number)
-            site.seeker.seek(key, packet_of(key))
-        site.loop.now += 0.1
-        site.seeker._send_questions()  # noqa: SLF001
-        # The first flow's questions went out at once.
-        self.assertEqual(len(site.sent), 2 * HOSTS)
-        hear = site.handlers[messages.NOT_HELD]
+            env.searcher.search(key, packet_of(key))
+        env.loop.now += 0.1
+        env.searcher._send_queries()  # noqa: SLF001
+        # The queries for the first flow were sent without delay.
+        self.assertEqual(len(env.sent), 2 * HOSTS)
+        handle = env.handlers[messages.NOT_HELD]
         before = time.process_time()
-        for ip, datagram in site.sent:
-            hear(datagram, ip)
-        took = time.process_time() - before
-        self.assertEqual(len(site.resets), FLOWS)
-        self.assertEqual(set(site.resets), {'no-host-holds-it'})
-        self.assertLess(took, MOST_S)
-
-    def test_packets_spare_the_link(self) -> None:
-        """Replay: no sidecar can tell; a packet of 231 bytes for each flow."""
-        site = Site()
+        for ip, datagram in env.sent:
+            handle(datagram, ip)
+        duration = time.process_time() - before
+        self.assertEqual(len(env.resets), FLOWS)
+        self.assertEqual(set(env.resets), {'no-host-holds-it'})
+        self.assertLess(duration, MAX_CPU_S)
+
+    def test_relayed_packets_limit_bandwidth(self) -> None:
+        """No sidecar can answer; each flow has a packet of 231 bytes.
+
+        The packets sent to the hosts must not saturate the entry's link.
+        """
+        env = Environment()
         for number in range(FLOWS):
             key = flow_key(number)
-            site.seeker.seek(key, packet_of(key) + bytes(200))
-        site.loop.now += 0.1
-        site.seeker._send_questions()  # noqa: SLF001
-        hear = site.handlers[messages.UNSURE]
-        for ip, datagram in list(site.sent):
+            env.searcher.search(key, packet_of(key) + bytes(200))
+        env.loop.now += 0.1
+        env.searcher._send_queries()  # noqa: SLF001
+        handle = env.handlers[messages.UNSURE]
+        for ip, datagram in list(env.sent):
             keys = messages.read_keys(datagram)
-            hear(messages.pack_keys(messages.UNSURE, keys), ip)
-        site.sent.clear()
-        site.seeker._send_packets()  # noqa: SLF001
-        told = [messages.read_relayed(word)[1] for _, word in site.sent]
-        self.assertEqual(len(told), FLOWS)
-        self.assertEqual({len(others) for others in told}, {HOSTS - 1})
-        sent = sum(len(word) for _, word in site.sent)
-        self.assertLess(sent, MOST_BYTES)
-
-    def test_questions_are_paced(self) -> None:
-        """Replay: a search each 4 ms for a second, 60 hosts to ask."""
-        site = Site()
-        began = site.loop.now
+            handle(messages.pack_keys(messages.UNSURE, keys), ip)
+        env.sent.clear()
+        env.searcher._send_packets()  # noqa: SLF001
+        relayed = [messages.read_relayed(raw)[1] for _, raw in env.sent]
+        self.assertEqual(len(relayed), FLOWS)
+        self.assertEqual({len(others) for others in relayed}, {HOSTS - 1})
+        sent = sum(len(raw) for _, raw in env.sent)
+        self.assertLess(sent, MAX_BYTES)
+
+    def test_queries_are_rate_limited(self) -> None:
+        """Queries stay bounded with a search every 4 ms and 60 hosts.
+
+        The load lasts for a second, and nearly all flows must be queried.
+        """
+        env = Environment()
+        began = env.loop.now
         for number in range(250):
-            site.loop.now = began + number * 0.004
+            env.loop.now = began + number * 0.004
             key = flow_key(number)
-            site.seeker.seek(key, packet_of(key))
-            site.run_timers()
-        self.assertLess(len(site.sent), MOST_QUESTIONS)
+            env.searcher.search(key, packet_of(key))
+            env.run_timers()
+        self.assertLess(len(env.sent), MAX_QUERIES)
         asked = {
             flow
-            for _, datagram in site.sent
+            for _, datagram in env.sent
             for flow in messages.read_keys(datagram)
         }
         self.assertGreater(len(asked), 220)
