--- a/siskinbank/relay/__init__.py
+++ b/siskinbank/relay/__init__.py
@@ -1,1 +1,5 @@
-"""The programs of the users' platform: lean processes that carry packets."""
+"""Entry and sidecar processes for the users' platform.
+
+These processes forward packets and import only what they need to start
+quickly.
+"""
--- a/siskinbank/relay/catalogue.py
+++ b/siskinbank/relay/catalogue.py
@@ -1,7 +1,8 @@
-"""Every event that the lean programs log, with its number.
+"""Names and numbers of all events that entry and sidecar processes log.
 
-docs/OPERATIONS.md explains them; a number is never given to another event, so
-R221, R222, R224, R225 and R231 stay free: nothing ever logged their events.
+The events are described in docs/OPERATIONS.md. A number is never reused for
+another event; R221, R222, R224, R225 and R231 stay unassigned, although their
+events were never logged.
 """
 
 from __future__ import annotations
--- a/siskinbank/relay/datagrams.py
+++ b/siskinbank/relay/datagrams.py
@@ -1,4 +1,4 @@
-"""UDP sockets that never wait."""
+"""Non-blocking UDP sockets."""
 
 from __future__ import annotations
 
@@ -18,49 +18,52 @@
 
 __all__ = ('connect_datagrams', 'open_datagrams', 'read_datagrams')
 
-_DATAGRAMS = SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC
-# Room for half a second of the busiest process's datagrams.
+_NONBLOCKING_UDP = SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC
+# Holds the datagrams that the busiest process receives in half a second.
 _RECEIVE_BUFFER_BYTES = 1 << 20
-# Datagrams read from one socket before the others get their turn.
-_READS_A_TURN = 64
+# Datagrams read from one socket before other sockets are served.
+_MAX_READS_PER_TURN = 64
 
 
 def open_datagrams(address: tuple[str, int]) -> socket:
-    """Open a socket at an address.
+    """Open a UDP socket bound to an address.
 
     Raises:
-        OSError: the address cannot be had.
+        OSError: The address cannot be bound.
     """
-    datagrams = socket(AF_INET, _DATAGRAMS)
-    datagrams.setsockopt(SOL_SOCKET, SO_RCVBUF, _RECEIVE_BUFFER_BYTES)
-    datagrams.bind(address)
-    return datagrams
+    udp_socket = socket(AF_INET, _NONBLOCKING_UDP)
+    udp_socket.setsockopt(SOL_SOCKET, SO_RCVBUF, _RECEIVE_BUFFER_BYTES)
+    udp_socket.bind(address)
+    return udp_socket
 
 
 def connect_datagrams(address: tuple[str, int]) -> socket:
-    """Open a socket to one receiver, which reports when nobody listens."""
-    datagrams = socket(AF_INET, _DATAGRAMS)
-    datagrams.connect(address)
-    return datagrams
+    """Open a UDP socket connected to one receiver.
+
+    A connected socket reports an error if the receiver's port is closed.
+    """
+    udp_socket = socket(AF_INET, _NONBLOCKING_UDP)
+    udp_socket.connect(address)
+    return udp_socket
 
 
 def read_datagrams(
-    datagrams: socket,
-    longest: int,
-    take: Callable[[bytes, tuple[str, int]], None],
+    udp_socket: socket,
+    max_bytes: int,
+    on_datagram: Callable[[bytes, tuple[str, int]], None],
 ) -> None:
-    """Hand on what has come, until the socket is empty or the turn is over.
+    """Read pending datagrams, up to the limit of one turn.
 
     Args:
-        datagrams: where to read.
-        longest: bytes of the longest datagram to read whole.
-        take: called with each datagram and the address of its sender.
+        udp_socket: Socket to read from.
+        max_bytes: Size in bytes beyond which a datagram is truncated.
+        on_datagram: Called with each datagram and its sender's address.
     """
-    receive = datagrams.recvfrom
-    for _ in range(_READS_A_TURN):
+    receive = udp_socket.recvfrom
+    for _ in range(_MAX_READS_PER_TURN):
         try:
-            datagram, sender = receive(longest)
+            datagram, sender = receive(max_bytes)
         except OSError:
-            # Nothing left, or an error report for an earlier datagram.
+            # The socket is empty, or reports an error of an earlier datagram.
             return
-        take(datagram, sender)
+        on_datagram(datagram, sender)
--- a/siskinbank/relay/follower.py
+++ b/siskinbank/relay/follower.py
@@ -1,4 +1,4 @@
-"""Reads the store when it is this process's turn, and keeps what it said."""
+"""Reads hosts and operator settings from the store when a read is due."""
 
 from __future__ import annotations
 
@@ -29,44 +29,53 @@
 
 __all__ = ('Follower',)
 
-# How often it is checked whether a call is due, in seconds.
-_CHECK_S = 0.1
-# Calls are given up after this, in seconds: the store answers in 4 ms, and
-# in a third of a second where it is slow.
-_CALL_S = 1.0
-# A watch returns after this, in seconds; a connection gone silent is noticed
-# soon after, well within the time in which changes must be in force.
-_WATCH_S = 1.0
+# Interval between checks whether a request is due, in seconds.
+_CHECK_INTERVAL_S = 0.1
+# Request timeout, in seconds: the store answers in 4 ms, or in a third of a
+# second where it is slow.
+_REQUEST_TIMEOUT_S = 1.0
+# A watch request returns after this, in seconds. An unresponsive connection is
+# detected soon after, well within the time in which changes must take effect.
+_WATCH_DURATION_S = 1.0
 
 _OK = 200
 _GONE = 410
 
 
-class _Line:
-    """One connection to the store and its luck."""
+class _StoreConnection:
+    """A connection to the store with its failure count.
 
-    __slots__ = ('client', 'failures', 'next_try')
+    Attributes:
+        client: HTTP client of the connection.
+        failures: Number of consecutive failed requests.
+        next_attempt: Time before which no request is sent, in seconds.
+    """
+
+    __slots__ = ('client', 'failures', 'next_attempt')
 
     def __init__(self, client: Client) -> None:
         self.client = client
         self.failures = 0
-        self.next_try = NEVER
+        self.next_attempt = NEVER
 
 
 class Follower:
-    """What the store says, as read by this process.
+    """State read from the store by this process.
+
+    Times are those of the loop's clock, in seconds.
 
     Attributes:
-        configuration: the configuration in force, also from peers.
-        out: the data centres that the operator took out.
-        operator_revision: revision of the operator's last known change.
-        operator_seen: when the store last confirmed the operator's part.
-        hosts: the hosts' entries by address.
-        hosts_revision: revision of the last listing.
-        hosts_seen: when that was read.
-        hosts_told: when the store confirmed a listing to someone else who
-            told this process.
-        rank: the place in the order of readers.
+        configuration: Configuration in force, from the store or from peers.
+        evacuated: Names of the data centres evacuated by the operator.
+        operator_revision: Revision of the last known operator change.
+        operator_seen: Time of the store's last response about operator keys.
+        hosts: Host records by IP address.
+        hosts_revision: Revision of the last listing of the hosts.
+        hosts_seen: Time when that listing was read.
+        hosts_told: Time of the newest listing that a peer announced.
+        rank: Position of this process in the order of readers, from 0.
+        hosts_due: Returns whether the hosts must be listed now.
+        operator_due: Returns whether the operator keys must be read now.
     """
 
     def __init__(
@@ -75,9 +84,15 @@
         on_hosts: Callable[[], None],
         on_operator: Callable[[], None],
     ) -> None:
-        """Prepare two connections: one for listings, one for the watch."""
+        """Create connections for host listings and for the operator watch.
+
+        Args:
+            node: Process that owns the follower.
+            on_hosts: Called after the hosts were listed.
+            on_operator: Called after operator keys were read.
+        """
         self.configuration = Configuration()
-        self.out: frozenset[str] = frozenset()
+        self.evacuated: frozenset[str] = frozenset()
         self.operator_revision = 0
         self.operator_seen = NEVER
         self.hosts: dict[str, HostRecord] = {}
@@ -91,39 +106,42 @@
         self._on_hosts = on_hosts
         self._on_operator = on_operator
         store = node.settings.store
-        self._hosts_line = _Line(Client(node.loop, store))
-        self._operator_line = _Line(Client(node.loop, store))
-        self._loaded = False
-        self._pages: list[Change] = []
-        self._return = StoreReturn()
-        node.loop.every(_CHECK_S, self.check)
+        self._hosts_connection = _StoreConnection(Client(node.loop, store))
+        self._operator_connection = _StoreConnection(Client(node.loop, store))
+        self._has_operator_listing = False
+        self._listed_changes: list[Change] = []
+        self._store_return = StoreReturn()
+        node.loop.every(_CHECK_INTERVAL_S, self.check)
 
     def check(self) -> None:
-        """Make the calls that are due."""
-        if self._may_call(self._hosts_line) and self.hosts_due():
-            self._pages = []
+        """Send the requests that are due."""
+        if self._can_send_request(self._hosts_connection) and self.hosts_due():
+            self._listed_changes = []
             self._list_hosts('')
-        if self._may_call(self._operator_line) and self.operator_due():
+        if (
+            self._can_send_request(self._operator_connection)
+            and self.operator_due()
+        ):
             self._follow_operator()
 
     def trusts_absence(self) -> bool:
-        """Say whether a host without an entry is gone."""
-        return self._return.trusts_absence(self._node.loop.now)
+        """Return whether a host without a record in the store is gone."""
+        return self._store_return.trusts_absence(self._node.loop.now)
 
-    def take_configuration(self, raw: bytes, source: str) -> bool:
-        """Take a newer configuration; say whether it was one."""
+    def adopt_configuration(self, raw: bytes, source: str) -> bool:
+        """Adopt a configuration if it is newer; return whether it was."""
         before = self.configuration.version
         try:
-            taken = self.configuration.offer(raw)
+            adopted = self.configuration.offer(raw)
         except Unreadable as error:
-            self._refuse('configuration.refused', source, error)
+            self._log_refusal('configuration.refused', source, error)
             return False
-        if taken:
+        if adopted:
             self.note_configuration(before, source)
-        return taken
+        return adopted
 
     def note_configuration(self, before: int, source: str) -> None:
-        """Log a change of the configuration in force."""
+        """Log and count a change of the configuration in force."""
         self._node.meters.count('configurations_total')
         self._node.log(
             'configuration.taken',
@@ -133,36 +151,39 @@
             source=source,
         )
 
-    def _may_call(self, line: _Line) -> bool:
-        return not line.client.busy and self._node.loop.now >= line.next_try
+    def _can_send_request(self, connection: _StoreConnection) -> bool:
+        return (
+            not connection.client.busy
+            and self._node.loop.now >= connection.next_attempt
+        )
 
     def _list_hosts(self, after: str) -> None:
         self._node.meters.count('store_calls_total')
-        self._hosts_line.client.get(
+        self._hosts_connection.client.get(
             page_path(HOSTS, after),
-            _CALL_S,
-            self._listed,
+            _REQUEST_TIMEOUT_S,
+            self._on_hosts_page,
         )
 
-    def _listed(self, status: int, body: bytes) -> None:
-        line = self._hosts_line
-        if not self._note_answer(line, status, 'hosts'):
+    def _on_hosts_page(self, status: int, body: bytes) -> None:
+        connection = self._hosts_connection
+        if not self._record_response(connection, status, 'hosts'):
             return
         try:
             page = read_page(body)
         except Unreadable as error:
-            self._refuse('record.refused', 'hosts', error)
+            self._log_refusal('record.refused', 'hosts', error)
             return
-        self._pages.extend(page.changes)
+        self._listed_changes.extend(page.changes)
         if page.more and page.changes:
             self._list_hosts(page.changes[-1].key)
             return
         now = self._node.loop.now
-        self._return.note_read(now, max(self.hosts_seen, self.hosts_told))
-        self.hosts = self._decode_hosts(self._pages)
+        self._store_return.note_read(now, max(self.hosts_seen, self.hosts_told))
+        self.hosts = self._decode_hosts(self._listed_changes)
         self.hosts_revision = page.revision
         self.hosts_seen = now
-        self._pages = []
+        self._listed_changes = []
         self._on_hosts()
 
     def _decode_hosts(self, changes: list[Change]) -> dict[str, HostRecord]:
@@ -171,101 +192,119 @@
             try:
                 record = decode_host(change.content or b'')
             except Unreadable as error:
-                # Another writer's entry; it names no host.
-                self._refuse('record.refused', change.key, error)
+                # Not a host record: written by another client of the store.
+                self._log_refusal('record.refused', change.key, error)
                 continue
             other = hosts.get(record.ip)
-            # An address may be in use again; its latest life holds.
+            # Addresses are reused; the latest incarnation counts.
             if other is None or other.born_ms <= record.born_ms:
                 hosts[record.ip] = record
         return hosts
 
     def _follow_operator(self) -> None:
         self._node.meters.count('store_calls_total')
-        client = self._operator_line.client
-        if not self._loaded:
-            client.get(page_path(OPERATOR), _CALL_S, self._operator_listed)
+        client = self._operator_connection.client
+        if not self._has_operator_listing:
+            client.get(
+                page_path(OPERATOR), _REQUEST_TIMEOUT_S, self._on_operator_page
+            )
             return
-        path = changes_path(OPERATOR, self.operator_revision, _WATCH_S)
-        client.get(path, _WATCH_S + _CALL_S, self._operator_changed)
+        path = changes_path(OPERATOR, self.operator_revision, _WATCH_DURATION_S)
+        client.get(
+            path,
+            _WATCH_DURATION_S + _REQUEST_TIMEOUT_S,
+            self._on_operator_watch,
+        )
 
-    def _operator_listed(self, status: int, body: bytes) -> None:
-        if not self._note_answer(self._operator_line, status, 'operator'):
+    def _on_operator_page(self, status: int, body: bytes) -> None:
+        if not self._record_response(
+            self._operator_connection, status, 'operator'
+        ):
             return
         try:
             page = read_page(body)
         except Unreadable as error:
-            self._refuse('record.refused', 'operator', error)
+            self._log_refusal('record.refused', 'operator', error)
             return
-        self._loaded = True
+        self._has_operator_listing = True
         self.operator_revision = page.revision
         present = {change.key for change in page.changes}
-        self._set_out(key for key in present if key.startswith(EVACUATIONS))
-        self._apply(page.changes)
+        self._set_evacuated(
+            key for key in present if key.startswith(EVACUATIONS)
+        )
+        self._apply_operator_changes(page.changes)
         self.check()
 
-    def _operator_changed(self, status: int, body: bytes) -> None:
+    def _on_operator_watch(self, status: int, body: bytes) -> None:
         if status == _GONE:
-            # The history that we would go on from is dropped: list again.
-            self._loaded = False
+            # The store has compacted the revision to continue from:
+            # list all keys again.
+            self._has_operator_listing = False
             self._node.log('store.compacted', revision=self.operator_revision)
             self._follow_operator()
             return
-        if not self._note_answer(self._operator_line, status, 'watch'):
+        if not self._record_response(
+            self._operator_connection, status, 'watch'
+        ):
             return
         try:
             page = read_watch(body)
         except Unreadable as error:
-            self._refuse('record.refused', 'operator', error)
+            self._log_refusal('record.refused', 'operator', error)
             return
-        # An empty answer moves nothing: a watch may have been deaf for a
-        # while, and what it missed still lies after the old revision.
+        # An empty response does not advance the revision: a watch may miss
+        # changes for a while, and these still follow the old revision.
         for change in page.changes:
             self.operator_revision = max(
                 self.operator_revision, change.revision
             )
-        self._apply(page.changes)
+        self._apply_operator_changes(page.changes)
         self.check()
 
-    def _apply(self, changes: list[Change]) -> None:
+    def _apply_operator_changes(self, changes: list[Change]) -> None:
         self.operator_seen = self._node.loop.now
-        out = {EVACUATIONS + name for name in self.out}
+        evacuated = {EVACUATIONS + name for name in self.evacuated}
         for change in changes:
             if change.key == CONFIGURATION_KEY and change.content is not None:
-                self.take_configuration(change.content, 'store')
+                self.adopt_configuration(change.content, 'store')
             elif change.key.startswith(EVACUATIONS):
-                # Set and taken back by turns: the last word holds.
-                out.discard(change.key)
+                # A key may be set and removed repeatedly; the last change
+                # applies.
+                evacuated.discard(change.key)
                 if change.content is not None:
-                    out.add(change.key)
-        self._set_out(out)
+                    evacuated.add(change.key)
+        self._set_evacuated(evacuated)
         self._on_operator()
 
-    def _set_out(self, keys: Iterable[str]) -> None:
+    def _set_evacuated(self, keys: Iterable[str]) -> None:
         names = frozenset(key[len(EVACUATIONS) :] for key in keys)
-        if names != self.out:
-            self.out = names
+        if names != self.evacuated:
+            self.evacuated = names
             self._node.log(
                 'evacuation.changed',
                 out=','.join(sorted(names)) or '-',
                 revision=self.operator_revision,
             )
 
-    def _note_answer(self, line: _Line, status: int, call: str) -> bool:
+    def _record_response(
+        self, connection: _StoreConnection, status: int, call: str
+    ) -> bool:
         now = self._node.loop.now
         if status == _OK:
-            if line.failures:
+            if connection.failures:
                 self._node.log('store.regained', call=call)
-            line.failures = 0
-            line.next_try = now
+            connection.failures = 0
+            connection.next_attempt = now
             return True
         self._node.meters.count('store_failures_total')
-        if not line.failures:
+        if not connection.failures:
             self._node.log('store.lost', call=call, status=status)
-        line.failures += 1
-        line.next_try = now + pause_after_failures_s(line.failures, self.rank)
+        connection.failures += 1
+        connection.next_attempt = now + pause_after_failures_s(
+            connection.failures, self.rank
+        )
         return False
 
-    def _refuse(self, event: str, source: str, error: Exception) -> None:
+    def _log_refusal(self, event: str, source: str, error: Exception) -> None:
         self._node.meters.count('records_refused_total')
         self._node.log(event, source=source, reason=no_blanks(error))
--- a/siskinbank/relay/gossip.py
+++ b/siskinbank/relay/gossip.py
@@ -1,4 +1,4 @@
-"""How entries find each other and the sidecars, and who of them reads."""
+"""Membership of entries and sidecars, and the order of store readers."""
 
 from __future__ import annotations
 
@@ -23,32 +23,32 @@
 
 __all__ = ('Gossip',)
 
-# Words between entries, in seconds: four of them within the time after which
-# the next reader steps in.
-_NEWS_S = 0.25
-# An entry that says nothing for this long is no reader, in seconds.
-_SILENT_S = 0.9
-# Entries not heard of for this long get no more words, in seconds.
-_FORGET_S = 60.0
-# Whoever has not answered is greeted this often, in seconds.
-_GREET_S = 1.0
-_SWEEP_S = 5.0
-# Words go to this many peers a turn at most.
-_MOST_PEERS = 32
-# Lists of addresses hold this many at most.
-_MOST_ADDRESSES = 250
-# A record older than this is no answer to a sidecar that asks, in seconds.
-_FRESH_RECORD_S = 1.5
+# Interval between announcements to other entries, in seconds: four of them fit
+# into the time after which the next reader takes over.
+_ANNOUNCE_INTERVAL_S = 0.25
+# Entries silent for this long, in seconds, are not counted as live.
+_PEER_TIMEOUT_S = 0.9
+# Entries silent for this long, in seconds, are removed.
+_FORGET_AFTER_S = 60.0
+# Interval between hellos to processes that did not answer, in seconds.
+_HELLO_INTERVAL_S = 1.0
+_SWEEP_INTERVAL_S = 5.0
+# An announcement is sent to this many entries at most.
+_MAX_PEERS_PER_TURN = 32
+# Length limit of address lists in messages.
+_MAX_ADDRESSES = 250
+# Records older than this, in seconds, are not sent in reply to a hello.
+_MAX_RECORD_AGE_S = 1.5
 
 _HELLO = bytes((messages.HELLO,))
 
 
 class Gossip:
-    """The circle of entries, as seen by one of them.
+    """Exchanges announcements and host records with entries and sidecars.
 
     Attributes:
-        sidecars: packed addresses of all sidecars heard of.
-        stopping: this entry is about to stop.
+        sidecars: Packed addresses of all known sidecars.
+        stopping: Whether this entry is about to stop.
     """
 
     def __init__(
@@ -56,56 +56,58 @@
         node: Node,
         hosts: HostBeliefs,
         follower: Follower,
-        handover: Handover,
+        configuration_transfer: Handover,
     ) -> None:
-        """Greet the seeds and take part from now on."""
+        """Register the message handlers and send a hello to the seeds."""
         self.sidecars: set[bytes] = set()
         self.stopping = False
         self._node = node
         self._hosts = hosts
         self._follower = follower
-        self._handover = handover
-        self._heard: dict[bytes, float] = {}
+        self._configuration_transfer = configuration_transfer
+        self._last_seen: dict[bytes, float] = {}
         self._stopping: set[bytes] = set()
-        self._operator_confirmed = NEVER
-        self._wanted = False
-        self._version_told = 0
+        self._operator_seen_by_peer = NEVER
+        self._hosts_read_requested = False
+        self._announced_version = 0
         follower.hosts_due = self._hosts_due
         follower.operator_due = self._operator_due
-        node.handlers[messages.HELLO] = self._hear_hello
-        node.handlers[messages.PEERS] = self._hear_peers
-        node.handlers[messages.NEWS] = self._hear_news
-        node.loop.every(_NEWS_S, self.tell)
-        self._pace = GreetingPace(node.loop.now, _GREET_S)
-        node.loop.every(LOOK_S, self._greet_when_due)
-        node.loop.every(_SWEEP_S, self._sweep)
-        self._greet()
+        node.handlers[messages.HELLO] = self._receive_hello
+        node.handlers[messages.PEERS] = self._receive_peers
+        node.handlers[messages.ANNOUNCEMENT] = self._receive_announcement
+        node.loop.every(_ANNOUNCE_INTERVAL_S, self.tell)
+        self._hello_schedule = GreetingPace(node.loop.now, _HELLO_INTERVAL_S)
+        node.loop.every(LOOK_S, self._send_hellos_when_due)
+        node.loop.every(_SWEEP_INTERVAL_S, self._sweep)
+        self._send_hellos()
 
     def tell(self) -> None:
-        """Tell the other entries what this one knows."""
-        datagram = self._news().pack()
-        for peer in list(self._heard)[:_MOST_PEERS]:
+        """Announce versions and ages to the other entries; update the rank."""
+        datagram = self._announcement().pack()
+        for peer in list(self._last_seen)[:_MAX_PEERS_PER_TURN]:
             self._node.send(inet_ntoa(peer), datagram)
         readers = [
-            packed for packed in self._live() if packed not in self._stopping
+            packed
+            for packed in self._live_entries()
+            if packed not in self._stopping
         ]
         self._follower.rank = rank_of(self._node.packed_ip, readers)
 
     def tell_of_change(self) -> None:
-        """Tell the others at once if the configuration has changed.
+        """Announce the configuration at once if its version has changed.
 
-        Load pattern: the store is back after a loss of power, with a large
-        configuration; the first entry that has read it spares the others a
-        long read over a thin link.
+        Load pattern: the store returns after a power failure, with a large
+        configuration. Once one entry has read it, the others fetch it from
+        that entry instead of reading it over a slow link to the store.
         """
         version = self._follower.configuration.version
-        if version != self._version_told:
-            self._version_told = version
+        if version != self._announced_version:
+            self._announced_version = version
             self.tell()
 
     def tell_records(self) -> None:
-        """Tell each sidecar what the store says of its host."""
-        self.meet(list(map(inet_aton, self._follower.hosts)))
+        """Send each sidecar the record of its host."""
+        self.add_sidecars(list(map(inet_aton, self._follower.hosts)))
         now = self._node.loop.now
         for packed in self.sidecars:
             ip = inet_ntoa(packed)
@@ -113,131 +115,145 @@
             if record:
                 self._node.send(ip, record.pack())
 
-    def meet(self, sidecars: list[bytes]) -> None:
-        """Greet sidecars that are new to this entry."""
+    def add_sidecars(self, sidecars: list[bytes]) -> None:
+        """Add sidecars and send a hello to the new ones."""
         for packed in sidecars:
             if packed not in self.sidecars:
                 self.sidecars.add(packed)
                 self._node.send(inet_ntoa(packed), _HELLO)
 
     def want_hosts(self) -> None:
-        """Have the hosts' entries read soon, whoever's turn it is."""
-        self._wanted = True
+        """Request an early read of the hosts, regardless of this entry's rank."""
+        self._hosts_read_requested = True
 
     def _hosts_due(self) -> bool:
         follower = self._follower
-        newest = follower.hosts_seen
+        last_confirmed = follower.hosts_seen
         if not follower.hosts_revision:
             return True
-        patience = hosts_patience_s(follower.rank)
-        if self._wanted:
-            patience = hosts_patience_s(0)
+        max_age_s = hosts_patience_s(follower.rank)
+        if self._hosts_read_requested:
+            max_age_s = hosts_patience_s(0)
         else:
-            newest = max(newest, follower.hosts_told)
-        due = self._node.loop.now - newest > patience
+            last_confirmed = max(last_confirmed, follower.hosts_told)
+        due = self._node.loop.now - last_confirmed > max_age_s
         if due:
-            self._wanted = False
+            self._hosts_read_requested = False
         return due
 
     def _operator_due(self) -> bool:
         follower = self._follower
         if not follower.operator_revision:
             return True
-        newest = max(follower.operator_seen, self._operator_confirmed)
-        age = self._node.loop.now - newest
+        last_confirmed = max(
+            follower.operator_seen, self._operator_seen_by_peer
+        )
+        age = self._node.loop.now - last_confirmed
         return age >= operator_patience_s(follower.rank)
 
-    def _greet_when_due(self) -> None:
-        if self._pace.is_due(self._node.loop.now):
-            self._greet()
+    def _send_hellos_when_due(self) -> None:
+        if self._hello_schedule.is_due(self._node.loop.now):
+            self._send_hellos()
 
-    def _greet(self) -> None:
+    def _send_hellos(self) -> None:
         now = self._node.loop.now
-        young = self._pace.is_young(now)
+        starting = self._hello_schedule.is_young(now)
         for seed in self._node.settings.seeds:
             packed = inet_aton(seed)
-            silent = now - self._heard.get(packed, NEVER) > _GREET_S
-            if packed != self._node.packed_ip and (silent or not young):
+            silent = (
+                now - self._last_seen.get(packed, NEVER) > _HELLO_INTERVAL_S
+            )
+            if packed != self._node.packed_ip and (silent or not starting):
                 self._node.send(seed, _HELLO)
-        for packed in list(self.sidecars)[:_MOST_ADDRESSES]:
+        for packed in list(self.sidecars)[:_MAX_ADDRESSES]:
             ip = inet_ntoa(packed)
             host = self._hosts.get(ip)
-            if host is None or now - host.heard > _GREET_S:
+            if host is None or now - host.heard > _HELLO_INTERVAL_S:
                 self._node.send(ip, _HELLO)
 
-    def _hear_hello(self, raw: bytes, ip: str) -> None:
+    def _receive_hello(self, raw: bytes, ip: str) -> None:
         from_sidecar = len(raw) > 1
         if from_sidecar:
             self.sidecars.add(inet_aton(ip))
         else:
-            self._note(inet_aton(ip))
+            self._record_contact(inet_aton(ip))
         now = self._node.loop.now
-        entries = [*self._live(), self._node.packed_ip]
+        entries = [*self._live_entries(), self._node.packed_ip]
         reply = messages.pack_addresses(
             messages.PEERS,
-            entries[:_MOST_ADDRESSES],
-            self._hosts.addresses(now)[:_MOST_ADDRESSES],
+            entries[:_MAX_ADDRESSES],
+            self._hosts.addresses(now)[:_MAX_ADDRESSES],
         )
         self._node.send(ip, reply)
         if not from_sidecar:
-            self._node.send(ip, self._news().pack())
+            self._node.send(ip, self._announcement().pack())
             return
         record = record_for(self._follower, ip, now)
-        if record and record.age_s < _FRESH_RECORD_S:
+        if record and record.age_s < _MAX_RECORD_AGE_S:
             self._node.send(ip, record.pack())
 
-    def _hear_peers(self, raw: bytes, ip: str) -> None:
+    def _receive_peers(self, raw: bytes, ip: str) -> None:
         entries, sidecars = messages.read_peers(raw)
         for packed in entries:
-            if packed not in self._heard and packed != self._node.packed_ip:
-                self._heard[packed] = NEVER
+            if packed not in self._last_seen and packed != self._node.packed_ip:
+                self._last_seen[packed] = NEVER
                 self._node.send(inet_ntoa(packed), _HELLO)
-        self.meet(sidecars)
+        self.add_sidecars(sidecars)
 
-    def _hear_news(self, raw: bytes, ip: str) -> None:
-        news = messages.News.read(raw)
+    def _receive_announcement(self, raw: bytes, ip: str) -> None:
+        announcement = messages.Announcement.read(raw)
         packed = inet_aton(ip)
-        self._note(packed)
-        if news.stopping:
+        self._record_contact(packed)
+        if announcement.stopping:
             self._stopping.add(packed)
         else:
             self._stopping.discard(packed)
         now = self._node.loop.now
-        self._handover.ask_if_newer(news.version, ip)
-        if news.version == self._follower.configuration.version:
-            confirmed = now - news.operator_age_s
-            self._operator_confirmed = max(self._operator_confirmed, confirmed)
-        confirmed = now - news.hosts_age_s
+        self._configuration_transfer.ask_if_newer(announcement.version, ip)
+        if announcement.version == self._follower.configuration.version:
+            confirmed = now - announcement.operator_age_s
+            self._operator_seen_by_peer = max(
+                self._operator_seen_by_peer, confirmed
+            )
+        confirmed = now - announcement.hosts_age_s
         follower = self._follower
         follower.hosts_told = max(follower.hosts_told, confirmed)
 
-    def _note(self, packed: bytes) -> None:
+    def _record_contact(self, packed: bytes) -> None:
         now = self._node.loop.now
-        if now - self._heard.get(packed, NEVER) > _SILENT_S:
+        if now - self._last_seen.get(packed, NEVER) > _PEER_TIMEOUT_S:
             self._node.log('peer.heard', peer=inet_ntoa(packed))
-        self._heard[packed] = now
+        self._last_seen[packed] = now
 
-    def _live(self) -> list[bytes]:
-        edge = self._node.loop.now - _SILENT_S
-        return [packed for packed, heard in self._heard.items() if heard > edge]
+    def _live_entries(self) -> list[bytes]:
+        cutoff = self._node.loop.now - _PEER_TIMEOUT_S
+        return [
+            packed
+            for packed, last_seen in self._last_seen.items()
+            if last_seen > cutoff
+        ]
 
-    def _news(self) -> messages.News:
+    def _announcement(self) -> messages.Announcement:
         now = self._node.loop.now
         follower = self._follower
-        news = messages.News()
-        news.stopping = self.stopping
-        news.version = follower.configuration.version
-        news.operator_age_s = now - follower.operator_seen
-        news.hosts_age_s = now - follower.hosts_seen
-        return news
+        announcement = messages.Announcement()
+        announcement.stopping = self.stopping
+        announcement.version = follower.configuration.version
+        announcement.operator_age_s = now - follower.operator_seen
+        announcement.hosts_age_s = now - follower.hosts_seen
+        return announcement
 
     def _sweep(self) -> None:
         now = self._node.loop.now
         self._hosts.sweep(now)
         stored = {inet_aton(ip) for ip in self._follower.hosts}
         self.sidecars &= stored.union(self._hosts.addresses(now))
-        edge = now - _FORGET_S
-        silent = [packed for packed, at in self._heard.items() if at < edge]
+        cutoff = now - _FORGET_AFTER_S
+        silent = [
+            packed
+            for packed, last_seen in self._last_seen.items()
+            if last_seen < cutoff
+        ]
         for packed in silent:
-            self._heard.pop(packed)
+            self._last_seen.pop(packed)
             self._stopping.discard(packed)
--- a/siskinbank/relay/http.py
+++ b/siskinbank/relay/http.py
@@ -1,7 +1,8 @@
-"""HTTP/1.1 for a process that carries packets: the store, probes, metrics.
+"""Non-blocking HTTP/1.1 client and server on the event loop.
 
-Both ends read a message when its head and the body that ``Content-Length``
-announces have come; nothing here waits.
+The client talks to the store; the server answers health probes and metrics
+requests. The client handles a response once its head and the body announced by
+``Content-Length`` are complete. The server ignores request bodies.
 """
 
 from __future__ import annotations
@@ -25,35 +26,35 @@
 
     from siskinbank.relay.loop import Loop, Timer
 
-    #: Takes status and body; status 0 means that no answer came.
-    Answered = Callable[[int, bytes], None]
+    #: Called with status and body; status 0 means that there is no response.
+    ResponseCallback = Callable[[int, bytes], None]
 
 __all__ = ('Client', 'Server')
 
-_STREAM = SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC
+_NONBLOCKING_TCP = SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC
 _READ_BYTES = 65536
-# Heads and bodies beyond this are refused; the store's values are 1 MiB at
-# most, in base64 a third more, and a page holds about as much.
-_MOST_BYTES = 4 << 20
+# Size limit of a response with its head. Values in the store have at most
+# 1 MiB, a third more in base64, and a page holds about as much.
+_MAX_RESPONSE_BYTES = 4 << 20
 _BACKLOG = 16
-# Probes come from one router a data centre; more connections than this are
-# closed, the oldest first.
-_MOST_CONNECTIONS = 32
+# Limit of open server connections; beyond it the oldest is closed. Probes come
+# from one router in each data centre.
+_MAX_CONNECTIONS = 32
 _STATUS_DIGITS = 3
-# A connection that is not open after this, in seconds, is tried anew: many
-# ways between data centres, and a quarter of the time after which the system
-# repeats a lost opening packet.
-_CONNECT_S = 0.25
+# Connect timeout, in seconds: many round trips between data centres, and a
+# quarter of the time after which the kernel retransmits a lost SYN. The caller
+# then tries a new connection.
+_CONNECT_TIMEOUT_S = 0.25
 _HEAD_END = b'\r\n\r\n'
 
 
 class Client:
-    """One connection to one server, one request at a time."""
+    """HTTP client with one persistent connection and one request at a time."""
 
     __slots__ = (
-        '_answered',
-        '_connecting',
+        '_connect_timer',
         '_loop',
+        '_on_response',
         '_peer',
         '_received',
         '_socket',
@@ -61,29 +62,31 @@
     )
 
     def __init__(self, loop: Loop, peer: tuple[str, int]) -> None:
-        """Connect on first use."""
+        """Create a client that connects on first use."""
         self._loop = loop
         self._peer = peer
         self._socket: socket | None = None
         self._received = b''
-        self._answered: Answered | None = None
+        self._on_response: ResponseCallback | None = None
         self._timer: Timer | None = None
-        self._connecting: Timer | None = None
+        self._connect_timer: Timer | None = None
 
     @property
     def busy(self) -> bool:
-        """Whether a request waits for its answer."""
-        return self._answered is not None
+        """Whether a request is in progress."""
+        return self._on_response is not None
 
-    def get(self, path: str, timeout: float, answered: Answered) -> None:
-        """Ask for a path.
+    def get(
+        self, path: str, timeout: float, on_response: ResponseCallback
+    ) -> None:
+        """Send a GET request.
 
         Args:
-            path: path and query.
-            timeout: seconds until the connection is given up.
-            answered: called once.
+            path: Path and query.
+            timeout: Seconds until the connection is abandoned.
+            on_response: Called once with status and body.
         """
-        self._answered = answered
+        self._on_response = on_response
         self._received = b''
         self._timer = self._loop.after(timeout, self._expire)
         ip, port = self._peer
@@ -94,9 +97,9 @@
             self._finish(0, b'')
 
     def close(self) -> None:
-        """Drop the connection; a request that waits gets no answer."""
+        """Close the connection; a pending request gets no response."""
         if self._socket is not None:
-            self._loop.forget(self._socket.fileno())
+            self._loop.unwatch(self._socket.fileno())
             self._socket.close()
             self._socket = None
 
@@ -104,19 +107,19 @@
         if self._socket is not None:
             self._socket.send(request)
             return
-        connection = socket(AF_INET, _STREAM)
+        connection = socket(AF_INET, _NONBLOCKING_TCP)
         self._socket = connection
         connection.setsockopt(IPPROTO_TCP, TCP_NODELAY, 1)
-        self._connecting = self._loop.after(_CONNECT_S, self._expire)
-        connected = self._connected(request)
-        self._loop.watch(connection.fileno(), connected)
+        self._connect_timer = self._loop.after(_CONNECT_TIMEOUT_S, self._expire)
+        callback = self._connect_callback(request)
+        self._loop.watch(connection.fileno(), callback)
         self._loop.watch_writing(connection.fileno(), writing=True)
         try:
             connection.connect(self._peer)
         except BlockingIOError:
             return
 
-    def _connected(self, request: bytes) -> Callable[[int], None]:
+    def _connect_callback(self, request: bytes) -> Callable[[int], None]:
         unsent = [request]
 
         def ready(events: int) -> None:
@@ -124,7 +127,7 @@
             if connection is None:
                 return
             if unsent:
-                self._end_connecting()
+                self._cancel_connect_timer()
                 if connection.getsockopt(SOL_SOCKET, SO_ERROR):
                     self._finish(0, b'')
                     return
@@ -132,7 +135,7 @@
                 try:
                     connection.send(unsent.pop())
                 except OSError:
-                    # Reset as soon as it was open.
+                    # The peer reset the connection after it was opened.
                     self._finish(0, b'')
                 return
             self._read(connection)
@@ -147,35 +150,35 @@
             self._finish(0, b'')
             return
         self._received += received
-        answer = _split(self._received)
+        answer = _split_message(self._received)
         if answer:
             head, body = answer
             self._finish(_status(head), body)
-        elif len(self._received) > _MOST_BYTES:
+        elif len(self._received) > _MAX_RESPONSE_BYTES:
             self._finish(0, b'')
 
     def _expire(self) -> None:
         self._finish(0, b'')
 
-    def _end_connecting(self) -> None:
-        if self._connecting is not None:
-            self._loop.cancel(self._connecting)
-            self._connecting = None
+    def _cancel_connect_timer(self) -> None:
+        if self._connect_timer is not None:
+            self._loop.cancel(self._connect_timer)
+            self._connect_timer = None
 
     def _finish(self, status: int, body: bytes) -> None:
-        self._end_connecting()
+        self._cancel_connect_timer()
         if self._timer is not None:
             self._loop.cancel(self._timer)
             self._timer = None
         if not status:
             self.close()
-        answered, self._answered = self._answered, None
-        if answered is not None:
-            answered(status, body)
+        on_response, self._on_response = self._on_response, None
+        if on_response is not None:
+            on_response(status, body)
 
 
 class Server:
-    """Answers ``GET`` for a few paths."""
+    """HTTP server for GET requests to fixed paths."""
 
     __slots__ = ('_connections', '_listener', '_loop', '_paths')
 
@@ -185,20 +188,20 @@
         address: tuple[str, int],
         paths: dict[str, Callable[[], tuple[int, str]]],
     ) -> None:
-        """Listen.
+        """Open the listening socket.
 
         Args:
-            loop: where to wait.
-            address: where to listen.
-            paths: for each path what gives status and text.
+            loop: Event loop.
+            address: Address to listen at.
+            paths: Functions that return status and text, by path.
 
         Raises:
-            OSError: the address cannot be had.
+            OSError: The address cannot be bound.
         """
         self._loop = loop
         self._paths = paths
         self._connections: dict[int, socket] = {}
-        self._listener = socket(AF_INET, _STREAM)
+        self._listener = socket(AF_INET, _NONBLOCKING_TCP)
         self._listener.setsockopt(SOL_SOCKET, SO_REUSEADDR, 1)
         self._listener.bind(address)
         self._listener.listen(_BACKLOG)
@@ -208,16 +211,18 @@
         try:
             descriptor, _ = self._listener._accept()  # type: ignore[attr-defined]
         except OSError:
-            # The caller went away first.
+            # The client closed the connection before it was accepted.
             return
-        connection = socket(AF_INET, _STREAM, 0, descriptor)
+        connection = socket(AF_INET, _NONBLOCKING_TCP, 0, descriptor)
         connection.setblocking(False)
-        if len(self._connections) >= _MOST_CONNECTIONS:
+        if len(self._connections) >= _MAX_CONNECTIONS:
             self._close(next(iter(self._connections)))
         self._connections[descriptor] = connection
-        self._loop.watch(descriptor, self._reader(descriptor, connection))
+        self._loop.watch(
+            descriptor, self._request_callback(descriptor, connection)
+        )
 
-    def _reader(
+    def _request_callback(
         self,
         descriptor: int,
         connection: socket,
@@ -244,8 +249,8 @@
         connection: socket,
         request: bytes,
     ) -> None:
-        words = request.split(b' ', 2)
-        path = words[1].decode('latin-1') if len(words) > 1 else ''
+        parts = request.split(b' ', 2)
+        path = parts[1].decode('latin-1') if len(parts) > 1 else ''
         answer = self._paths.get(path)
         status, text = answer() if answer else (404, '')
         body = text.encode()
@@ -260,31 +265,31 @@
             self._close(descriptor)
 
     def _close(self, descriptor: int) -> None:
-        self._loop.forget(descriptor)
+        self._loop.unwatch(descriptor)
         self._connections.pop(descriptor).close()
 
 
 def _receive(connection: socket) -> bytes | None:
-    """Return what has come, nothing at the end, None if there is none yet."""
+    """Return received bytes, empty at the end, None if none are available."""
     try:
         return connection.recv(_READ_BYTES)
     except BlockingIOError:
         return None
     except OSError:
-        # Reset: the connection is over as at its end.
+        # A reset is handled like the end of the stream.
         return b''
 
 
-def _split(received: bytes) -> tuple[bytes, bytes] | None:
-    """Return head and body once both are whole."""
+def _split_message(received: bytes) -> tuple[bytes, bytes] | None:
+    """Return head and body, or None while they are incomplete."""
     head, found, rest = received.partition(_HEAD_END)
     if not found:
         return None
-    length = _length(head)
+    length = _content_length(head)
     return (head, rest[:length]) if len(rest) >= length else None
 
 
-def _length(head: bytes) -> int:
+def _content_length(head: bytes) -> int:
     for line in head.split(b'\r\n'):
         name, _, length = line.partition(b':')
         if name.lower() == b'content-length' and length.strip().isdigit():
--- a/siskinbank/relay/log.py
+++ b/siskinbank/relay/log.py
@@ -1,8 +1,9 @@
-"""Structured logs on standard output: bounded, and never in anyone's way.
+"""Structured, rate-limited and non-blocking logs on standard output.
 
-A line is ``time event key=value ...``. Lines gather in memory and leave in one
-write; what standard output does not take at once, or what goes over the
-budget, is dropped and counted, and the next line that gets out says how many.
+A line is ``time number event key=value ...``. Lines are buffered and written
+together. Lines beyond the rate limit, and lines that standard output does not
+accept at once, are dropped; ``log.dropped`` reports their number with the next
+successful write.
 """
 
 from __future__ import annotations
@@ -20,84 +21,85 @@
 __all__ = ('Log', 'no_blanks')
 
 _STDOUT = 1
-# Lines a second over a longer time, and how many may come at once. The budget
-# is twice the decisions of the busiest process in the users' sites.
+# Sustained rate in lines a second, and burst size in lines: twice the decisions
+# of the busiest process at the users' sites.
 _LINES_PER_S = 60.0
 _BURST_LINES = 240.0
-# Lines wait this long for others, in seconds: one write serves them all.
-_GATHER_S = 0.25
+# Interval between flushes, in seconds; the lines of one interval share a write.
+_FLUSH_INTERVAL_S = 0.25
 
 
 class Log:
-    """Writes the events of one process."""
+    """Event log of one process, limited by a token bucket."""
 
     __slots__ = (
         '_dropped',
         '_lines',
         '_loop',
+        '_partial_line',
         '_refilled',
-        '_rest',
         '_tokens',
     )
 
     def __init__(self, loop: Loop) -> None:
-        """Begin with a full budget."""
+        """Initialize with a full token bucket and make stdout non-blocking."""
         self._loop = loop
         self._lines: list[str] = []
         self._tokens = _BURST_LINES
         self._refilled = loop.now
         self._dropped = 0
-        self._rest = b''
+        self._partial_line = b''
         set_blocking(_STDOUT, False)
-        loop.every(_GATHER_S, self.flush)
+        loop.every(_FLUSH_INTERVAL_S, self.flush)
 
     def __call__(self, event: str, **fields: object) -> None:
-        """Note one event with the values that decided it.
+        """Log one event with the values that explain it.
 
         Args:
-            event: a name from the catalogue.
-            fields: the values, without spaces.
+            event: Event name from the catalogue.
+            fields: Values by field name, without spaces.
         """
-        if not self._take():
+        if not self._take_token():
             self._dropped += 1
             return
-        # No blank in the values: a line splits at blanks.
-        words = [f'{name}={fields[name]}' for name in fields]
+        # Values have no spaces: readers split a line at spaces.
+        pairs = [f'{name}={fields[name]}' for name in fields]
         self._lines.append(
-            f'{time():.3f} {EVENTS[event]} {event} {" ".join(words)}\n'
+            f'{time():.3f} {EVENTS[event]} {event} {" ".join(pairs)}\n'
         )
 
     def flush(self) -> None:
-        """Write what has gathered."""
-        if not self._lines and not self._rest:
+        """Write the buffered lines."""
+        if not self._lines and not self._partial_line:
             return
         if self._dropped:
             number = EVENTS['log.dropped']
             line = f'{time():.3f} {number} log.dropped lines={self._dropped}\n'
             self._lines.append(line)
             self._dropped = 0
-        unsent = self._rest + ''.join(self._lines).encode()
+        unsent = self._partial_line + ''.join(self._lines).encode()
         self._lines.clear()
         try:
             written = write_bytes(_STDOUT, unsent)
         except OSError:
-            # Nobody reads; say so as soon as somebody does.
+            # Nothing was written: nobody reads the output. The dropped lines
+            # are reported with the next successful write.
             written = 0
         self._drop_unsent(unsent, written)
 
     def _drop_unsent(self, unsent: bytes, written: int) -> None:
-        """Keep the rest of a line that was written in part, drop the others."""
+        """Keep the rest of a partially written line; drop and count the others."""
         dropped = unsent[written:]
         if not written:
-            dropped = dropped[len(self._rest) :]
+            dropped = dropped[len(self._partial_line) :]
         elif unsent[written - 1 : written] == b'\n':
-            self._rest = b''
+            self._partial_line = b''
         else:
             line, end, dropped = dropped.partition(b'\n')
-            self._rest = line + end
+            self._partial_line = line + end
         self._dropped += dropped.count(b'\n')
 
-    def _take(self) -> bool:
+    def _take_token(self) -> bool:
         now = self._loop.now
         refill = (now - self._refilled) * _LINES_PER_S
         self._tokens = min(_BURST_LINES, self._tokens + refill)
@@ -109,5 +111,5 @@
 
 
 def no_blanks(error: Exception) -> str:
-    """Return an error's text as one value of a line."""
+    """Return the text of an error without spaces, for use as a log value."""
     return str(error).replace(' ', '_')
--- a/siskinbank/relay/loop.py
+++ b/siskinbank/relay/loop.py
@@ -1,7 +1,7 @@
-"""The event loop of a process that carries packets, with its timer service.
+"""Event loop with timers for entry and sidecar processes.
 
-It replaces asyncio in these processes, whose import alone takes longer than
-everything that they need to be ready (docs/design/platform.md).
+It replaces asyncio, whose import alone takes longer than the whole start of
+these processes (docs/design/platform.md).
 """
 
 from __future__ import annotations
@@ -15,18 +15,24 @@
 
 __all__ = ('NEVER', 'Loop', 'Timer')
 
-# Before any time that the clock shows, in seconds.
+# A time before any time of the clock, in seconds.
 NEVER = -1e9
 
-# The longest wait for events, in seconds: bounds how late a signal is seen.
-_LONGEST_WAIT_S = 0.25
-# Two turns further apart than this, in seconds, mean that the process stood
-# still: several times the longest wait.
-_STALL_S = 1.0
+# The longest wait for events, in seconds; limits the delay of signal handling.
+_MAX_WAIT_S = 0.25
+# A turn that ends this much later than planned, in seconds, is a stall of the
+# process: several times the longest wait.
+_STALL_THRESHOLD_S = 1.0
 
 
 class Timer:
-    """A subscription to the timer service."""
+    """A scheduled call.
+
+    Attributes:
+        due: Time of the next call, in seconds.
+        period: Interval between calls in seconds, 0 for a single call.
+        callback: Function to call.
+    """
 
     __slots__ = ('callback', 'due', 'period')
 
@@ -36,52 +42,57 @@
         period: float,
         callback: Callable[[], None],
     ) -> None:
-        """Remember when to call whom, and how often (0: once)."""
+        """Create a timer; a period of 0 stands for a single call."""
         self.due = due
         self.period = period
         self.callback = callback
 
 
 class Loop:
-    """Waits for sockets and timers, and calls who subscribed.
+    """Waits for sockets and timers, and runs their callbacks.
+
+    The clock includes the time in suspension, so that all known state has aged
+    when the process resumes.
 
-    The clock counts time in suspension, so that whatever a process believed
-    before it has aged when it wakes.
+    Attributes:
+        now: Time of the current turn, in seconds.
+        on_fault: Called with exceptions of callbacks; if it is None, they end
+            the process.
     """
 
     __slots__ = (
         '_callbacks',
         '_poll',
         '_running',
-        '_stalls',
+        '_stall_callbacks',
         '_timers',
         'now',
         'on_fault',
     )
 
     def __init__(self) -> None:
-        """Start with no subscribers."""
+        """Create a loop without callbacks."""
         self.now = clock_gettime(CLOCK_BOOTTIME)
         self._poll = epoll()
         self._callbacks: dict[int, Callable[[int], None]] = {}
         self._timers: list[Timer] = []
-        self._stalls: list[Callable[[float], None]] = []
+        self._stall_callbacks: list[Callable[[float], None]] = []
         self._running = False
-        #: Takes a fault of a subscriber; without one it ends the process.
+        #: Called with exceptions of callbacks; without it they end the process.
         self.on_fault: Callable[[Exception], None] | None = None
 
     def watch(self, descriptor: int, callback: Callable[[int], None]) -> None:
-        """Call back with the events whenever the descriptor can be read."""
+        """Call back with the events when the descriptor is readable."""
         self._callbacks[descriptor] = callback
         self._poll.register(descriptor, EPOLLIN)
 
     def watch_writing(self, descriptor: int, writing: bool) -> None:
-        """Also call back when the descriptor can be written, or no more."""
+        """Enable or disable callbacks when the descriptor is writable."""
         events = EPOLLIN | EPOLLOUT if writing else EPOLLIN
         self._poll.modify(descriptor, events)
 
-    def forget(self, descriptor: int) -> None:
-        """End the subscription of a descriptor, before it is closed."""
+    def unwatch(self, descriptor: int) -> None:
+        """Unregister a descriptor; must be called before it is closed."""
         if self._callbacks.pop(descriptor, None):
             self._poll.unregister(descriptor)
 
@@ -94,33 +105,33 @@
         return self._add(Timer(self.now + delay, 0, callback))
 
     def cancel(self, timer: Timer) -> None:
-        """Drop a timer; one that has run already is no mistake."""
+        """Cancel a timer; does nothing if it has run already."""
         if timer in self._timers:
             self._timers.remove(timer)
 
     def on_stall(self, callback: Callable[[float], None]) -> None:
-        """Call back with the seconds lost after the process stood still."""
-        self._stalls.append(callback)
+        """Call back with the duration in seconds after a stall of the process."""
+        self._stall_callbacks.append(callback)
 
     def stop(self) -> None:
-        """Return from ``run`` after this turn."""
+        """Make ``run`` return after the current turn."""
         self._running = False
 
     def run(self) -> None:
-        """Serve until stopped."""
+        """Run until stopped."""
         self._running = True
         while self._running:
-            self._turn()
+            self._run_once()
 
-    def _turn(self) -> None:
+    def _run_once(self) -> None:
         before = self.now
         wait = self._wait_s()
         events = self._poll.poll(wait)
         self.now = clock_gettime(CLOCK_BOOTTIME)
-        lost = self.now - before - wait
-        if lost > _STALL_S:
-            for stalled in self._stalls:
-                stalled(lost)
+        stalled_s = self.now - before - wait
+        if stalled_s > _STALL_THRESHOLD_S:
+            for on_stall_callback in self._stall_callbacks:
+                on_stall_callback(stalled_s)
         for descriptor, event in events:
             callback = self._callbacks.get(descriptor)
             if callback:
@@ -128,7 +139,7 @@
         self._run_timers()
 
     def _wait_s(self) -> float:
-        wait = _LONGEST_WAIT_S
+        wait = _MAX_WAIT_S
         for timer in self._timers:
             wait = min(wait, timer.due - self.now)
         return max(wait, 0)
@@ -142,10 +153,10 @@
                 self.cancel(timer)
             self._call(timer.callback)
 
-    def _call(self, callback: Callable[..., None], *words: int) -> None:
-        """Call a subscriber; a fault in one of them ends no other."""
+    def _call(self, callback: Callable[..., None], *args: int) -> None:
+        """Run a callback; its exceptions do not affect other callbacks."""
         try:
-            callback(*words)
+            callback(*args)
         except Exception as fault:
             if self.on_fault is None:
                 raise
--- a/siskinbank/relay/main.py
+++ b/siskinbank/relay/main.py
@@ -1,4 +1,4 @@
-"""Start of a process on the users' platform: ``main.pyc entry|sidecar``."""
+"""Command of the users' platform: ``main.pyc entry|sidecar``."""
 
 from __future__ import annotations
 
@@ -14,20 +14,20 @@
 
 
 def main(role: str) -> int:
-    """Run one process until the platform ends it.
+    """Run an entry or a sidecar until the platform stops it.
 
     Args:
         role: ``entry`` or ``sidecar``.
 
     Returns:
-        0 after a planned stop, 1 if the process could not start.
+        Exit status: 0 after a planned stop, 1 if the start failed.
     """
-    # Nothing here makes cycles of objects; see docs/design/platform.md.
+    # These processes create no reference cycles; see docs/design/platform.md.
     gc.disable()
     path = environ.get(SETTINGS_VARIABLE.encode(), b'').decode()
     try:
         node = Node(path)
-        _program(role, node)
+        _create_program(role, node)
     except (OSError, Unreadable) as error:
         sys.stdout.write(f'process.refused reason={error}\n')
         return 1
@@ -35,8 +35,8 @@
     return 0
 
 
-def _program(role: str, node: Node) -> object:
-    """Make the program of a role; each loads its own modules only."""
+def _create_program(role: str, node: Node) -> object:
+    """Create the entry or sidecar; only the modules of the role are loaded."""
     if role == 'sidecar':
         from siskinbank.relay.sidecar import Sidecar
 
--- a/siskinbank/relay/messages.py
+++ b/siskinbank/relay/messages.py
@@ -1,8 +1,8 @@
 """Datagrams between entries and sidecars.
 
-The first byte says what a datagram is. Addresses travel as 4 bytes, names of
-services and data centres as 32-bit digests, ages in milliseconds, so that no
-two clocks are compared.
+The first byte is the kind of the message. Addresses are encoded as 4 bytes,
+names of services and data centres as 32-bit digests. Ages in milliseconds are
+sent instead of times, so that clocks of two machines are never compared.
 """
 
 from __future__ import annotations
@@ -18,8 +18,10 @@
 
 __all__ = (
     'ABSENT',
+    'ANNOUNCEMENT',
     'ASK_CONFIGURATION',
     'ASK_FLOWS',
+    'Announcement',
     'CARRY',
     'CONFIGURATION',
     'DRAINING',
@@ -31,9 +33,7 @@
     'MOST_KEYS',
     'MOST_RELAYED',
     'Malformed',
-    'NEWS',
     'NOT_HELD',
-    'News',
     'OPEN',
     'OPERATOR',
     'OUT',
@@ -65,59 +65,63 @@
     'wait_ms',
 )
 
-# A client's first packet, with the candidates that may take its flow.
+# A client's first packet, with the candidate hosts for its flow.
 OPEN = 1
-# A packet of a flow that the host is known to hold.
+# A packet of a flow that is known to be held by the receiving host.
 CARRY = 2
-# A packet of a flow that any of several hosts may hold.
+# A packet of a flow whose host is searched for.
 SEARCH = 3
-# A sidecar's notes to an entry: its host holds a flow, does not hold it, or
-# nobody may take it now; see also KEPT.
+# Notes of a sidecar to an entry: its host holds a flow, does not hold it, or no
+# host can accept the flow now; see also KEPT.
 HELD = 4
 ABSENT = 5
 REFUSED = 6
-# What a sidecar says of its host; who is there; what versions are known.
+# Host status of a sidecar; a hello; addresses of known processes; announcement
+# of an entry.
 STATUS = 7
 HELLO = 8
 PEERS = 9
-NEWS = 10
-# What the store says of a host, for its sidecar.
+ANNOUNCEMENT = 10
+# Record of a host from the store, for its sidecar. Request for a configuration
+# and a piece of it.
 RECORD = 11
 ASK_CONFIGURATION = 12
 CONFIGURATION = 13
-# Which of some flows a host holds, by key; which it does not hold, and of
-# which its sidecar cannot tell, as it began after the host.
+# Query which of some flows a host holds, by key. Replies: flows that it does not
+# hold, and flows of which the sidecar does not know, as it started later than
+# its host.
 ASK_FLOWS = 14
 NOT_HELD = 15
 UNSURE = 16
-# A note as well: the sidecar keeps a first packet until a slot is free.
+# Also a note: the sidecar holds a first packet in its queue until a slot is
+# free.
 KEPT = 17
-# A packet of a flow that is looked for, to be handed on to other hosts.
+# A packet of a flow whose host is searched for, to be forwarded to other hosts.
 RELAYED = 18
 
-# Flags of a record: the host has an entry, says that it drains, stands in a
-# data centre that was taken out; the operator's part is known.
+# Flags of a record: the host is in the store, is draining, is in an evacuated
+# data centre; the operator keys have been read.
 REGISTERED = 1
 DRAINING = 2
 OUT = 4
 OPERATOR = 8
 
-# The longest wait that a message can state, in milliseconds.
+# The largest value of a wait in a message, in milliseconds.
 MOST_WAIT_MS = 0xFFFF
 
 _ADDRESS_BYTES = 4
 _KEY_BYTES = 12
-# Keys in one datagram: fits any link unbroken.
+# Flow keys in one datagram, so that no link fragments it.
 MOST_KEYS = 90
-# Hosts that one sidecar hands a packet on to: a few ms of its work.
+# Hosts that one sidecar forwards a packet to: takes it a few ms.
 MOST_RELAYED = 64
-_MS = 1000
+_MS_PER_S = 1000
 _MAX_AGE_MS = 0xFFFFFFFF
 
-_OPENING = Struct('!BBIQ4sHH4sHB')
+_OPENING_HEAD = Struct('!BBIQ4sHH4sHB')
 _FLOW_NOTE = Struct('!B12sIB')
 _STATUS = Struct('!BIIBHHHQIB')
-_NEWS = Struct('!BBQII')
+_ANNOUNCEMENT = Struct('!BBQII')
 _RECORD = Struct('!BBIIHQQIIQQ')
 _PIECE = Struct('!BQHH')
 _RELAYED = Struct('!B4sB')
@@ -129,41 +133,41 @@
 
 
 class Malformed(ValueError):
-    """A datagram that no process of this system sends."""
+    """A datagram has an invalid format."""
 
 
 def digest(name: str) -> int:
-    """Return the number that stands for a name on the wire."""
+    """Return the digest that encodes a name in messages."""
     return crc32(name.encode())
 
 
 def carry(packet: bytes) -> bytes:
-    """Wrap a packet of a known flow."""
+    """Return a CARRY datagram with a packet of a known flow."""
     return _CARRY_HEAD + packet
 
 
 def search(packet: bytes) -> bytes:
-    """Wrap a packet whose flow's host is looked for."""
+    """Return a SEARCH datagram with a packet whose host is unknown."""
     return _SEARCH_HEAD + packet
 
 
 def relayed(entry: bytes, others: list[bytes], packet: bytes) -> bytes:
-    """Write a packet whose flow's host is looked for, to be handed on.
+    """Return a RELAYED datagram with a packet whose host is unknown.
 
     Args:
-        entry: address of the entry that wants to know.
-        others: addresses of hosts to hand it on to, MOST_RELAYED at most.
-        packet: the client's packet.
+        entry: Address of the entry that searches for the host.
+        others: Addresses of hosts to forward to, MOST_RELAYED at most.
+        packet: The client's packet.
     """
     head = _RELAYED.pack(RELAYED, entry, len(others))
     return head + b''.join(others) + packet
 
 
 def read_relayed(raw: bytes) -> tuple[bytes, list[bytes], bytes]:
-    """Return the entry, the hosts to hand a packet on to, and the packet.
+    """Return the entry, the hosts to forward a packet to, and the packet.
 
     Raises:
-        Malformed: the datagram is cut short.
+        Malformed: The datagram is truncated.
     """
     _, entry, count = _unpack(_RELAYED, raw)
     start = _RELAYED.size
@@ -172,19 +176,20 @@
 
 
 class Opening:
-    """A first packet on its way to a host.
+    """A first packet with the candidate hosts for its flow.
 
     Attributes:
-        hops: how many sidecars have passed it on.
-        service: digest of the service that may take it.
-        version: the configuration that the entry read this from.
-        entry: address of the entry that wants to know who took it.
-        aim_ms: latency that the client expects of its request.
-        limit_ms: how long it may wait at a host.
-        best: address of the host with the shortest wait met so far.
-        best_wait_ms: that wait, MOST_WAIT_MS while none was met.
-        candidates: addresses to pass it on to, the best first.
-        packet: the client's packet.
+        hops: Number of sidecars that have forwarded it.
+        service: Digest of the service.
+        version: Version of the configuration that the entry used.
+        entry: Address of the entry that is told which host accepted the flow.
+        aim_ms: Target latency of the client's request, in milliseconds.
+        limit_ms: Longest wait at a host, in milliseconds.
+        best: Address of the host with the shortest expected wait so far.
+        best_wait_ms: That wait in milliseconds, MOST_WAIT_MS if there is none.
+        candidates: Addresses of further candidate hosts, in order of
+            preference.
+        packet: The client's packet.
     """
 
     __slots__ = (
@@ -201,7 +206,7 @@
     )
 
     def __init__(self, entry: bytes, packet: bytes) -> None:
-        """Begin with a packet that has met no host yet."""
+        """Create a message for a packet that was sent to no host yet."""
         self.entry = entry
         self.packet = packet
         self.hops = 0
@@ -215,13 +220,13 @@
 
     @classmethod
     def read(cls, raw: bytes) -> Opening:
-        """Read a datagram.
+        """Decode a datagram.
 
         Raises:
-            Malformed: it is cut short.
+            Malformed: The datagram is truncated.
         """
-        fields = _unpack(_OPENING, raw)
-        start = _OPENING.size
+        fields = _unpack(_OPENING_HEAD, raw)
+        start = _OPENING_HEAD.size
         end = start + fields[-1] * _ADDRESS_BYTES
         opening = cls(fields[4], raw[end:])
         opening.hops, opening.service, opening.version = fields[1:4]
@@ -232,23 +237,23 @@
 
     @property
     def best_wait_s(self) -> float | None:
-        """The shortest wait met so far, None while none was met."""
+        """The shortest expected wait so far in seconds, None if unset."""
         if self.best_wait_ms == MOST_WAIT_MS:
             return None
-        return self.best_wait_ms / _MS
+        return self.best_wait_ms / _MS_PER_S
 
     @property
     def is_hopeless(self) -> bool:
-        """Whether even the shortest wait is too long."""
+        """Whether the shortest expected wait exceeds the limit."""
         return self.limit_ms < self.best_wait_ms < MOST_WAIT_MS
 
     def pop_next(self) -> str:
-        """Take out the next candidate and return its address as text."""
+        """Remove the next candidate; return its address as text."""
         return inet_ntoa(self.candidates.pop(0))
 
     def pack(self) -> bytes:
-        """Return the datagram."""
-        head = _OPENING.pack(
+        """Return the encoded datagram."""
+        head = _OPENING_HEAD.pack(
             OPEN,
             self.hops,
             self.service,
@@ -264,58 +269,60 @@
 
 
 def flow_note(kind: int, key: bytes, number: int, reason: int = 0) -> bytes:
-    """Write a note about one flow.
+    """Return a datagram with a note about one flow.
 
     Args:
         kind: HELD, ABSENT, REFUSED or KEPT.
-        key: the flow's key.
-        number: the host's first sequence number, 0 if none is known.
-        reason: why a flow was refused, see ``admission.reasons``; with HELD
-            whether the host has worked on the flow.
+        key: Flow key.
+        number: The host's first sequence number, 0 if unknown.
+        reason: Reason of a refusal, see ``admission.reasons``; with HELD
+            whether the flow is established at the host.
     """
     return _FLOW_NOTE.pack(kind, key, number, reason)
 
 
 def read_flow_note(raw: bytes) -> tuple[bytes, int, int]:
-    """Return a flow's key, the host's sequence number and the reason.
+    """Return flow key, the host's sequence number and reason of a note.
 
     Raises:
-        Malformed: the datagram is cut short.
+        Malformed: The datagram is truncated.
     """
     _, key, number, reason = _unpack(_FLOW_NOTE, raw)
     return key, number, reason
 
 
 def pack_keys(kind: int, keys: list[bytes]) -> bytes:
-    """Write a datagram about several flows.
+    """Return a datagram with several flow keys.
 
     Args:
         kind: ASK_FLOWS, NOT_HELD or UNSURE.
-        keys: the flows' keys, MOST_KEYS at most.
+        keys: Flow keys, MOST_KEYS at most.
     """
     return bytes((kind,)) + b''.join(keys)
 
 
 def read_keys(raw: bytes) -> list[bytes]:
-    """Return the keys of a datagram about several flows."""
+    """Return the flow keys of a datagram."""
     starts = range(1, len(raw) - _KEY_BYTES + 1, _KEY_BYTES)
     return [raw[start : start + _KEY_BYTES] for start in starts]
 
 
 class Status:
-    """What a sidecar says of its host.
+    """Host status sent by a sidecar.
 
     Attributes:
-        service: digest of the service.
-        data_centre: digest of the data centre.
-        state: 0 if it takes new flows, else the reason why not, see
-            ``admission.reasons``.
-        slots: requests that the host works on at a time.
-        busy: requests in progress.
-        flows: open flows.
-        version: the newest configuration that the sidecar has heard of.
-        record_age_ms: age of what the store says of the host.
-        trusted: nothing speaks for other hosts, see ``OwnHost.is_trusted``.
+        service: Digest of the service.
+        data_centre: Digest of the data centre.
+        state: 0 if the host accepts new flows, otherwise the reason why not,
+            see ``admission.reasons``.
+        slots: Number of requests that the host processes concurrently.
+        busy: Number of requests in progress.
+        flows: Number of open flows.
+        version: Newest configuration version that the sidecar has received.
+        record_age_ms: Age of the host's record from the store, in
+            milliseconds.
+        trusted: Whether there is no reason to prefer other hosts, see
+            ``OwnHost.is_trusted``.
     """
 
     __slots__ = (
@@ -331,7 +338,7 @@
     )
 
     def __init__(self, service: int, data_centre: int) -> None:
-        """Describe a host of which nothing else is known."""
+        """Create the status of a host of which nothing else is known."""
         self.service = service
         self.data_centre = data_centre
         self.state = 0
@@ -344,10 +351,10 @@
 
     @classmethod
     def read(cls, raw: bytes) -> Status:
-        """Read a datagram.
+        """Decode a datagram.
 
         Raises:
-            Malformed: it is cut short.
+            Malformed: The datagram is truncated.
         """
         fields = _unpack(_STATUS, raw)
         status = cls(fields[1], fields[2])
@@ -363,7 +370,7 @@
         return status
 
     def pack(self) -> bytes:
-        """Return the datagram."""
+        """Return the encoded datagram."""
         return _STATUS.pack(
             STATUS,
             self.service,
@@ -378,14 +385,14 @@
         )
 
 
-class News:
-    """Which versions an entry knows, and how old that knowledge is.
+class Announcement:
+    """Announcement of an entry: its versions and the age of its state.
 
     Attributes:
-        stopping: the entry is about to stop.
-        version: the configuration in force.
-        operator_age_s: time since the store confirmed what the operator wrote.
-        hosts_age_s: time since the store confirmed the hosts' entries.
+        stopping: Whether the entry is about to stop.
+        version: Version of the configuration in force.
+        operator_age_s: Seconds since the store confirmed the operator keys.
+        hosts_age_s: Seconds since the store confirmed the host records.
     """
 
     __slots__ = (
@@ -396,31 +403,31 @@
     )
 
     def __init__(self) -> None:
-        """Know nothing."""
+        """Create an announcement without version and with maximum ages."""
         self.stopping = False
         self.version = 0
-        self.operator_age_s = _MAX_AGE_MS / _MS
-        self.hosts_age_s = _MAX_AGE_MS / _MS
+        self.operator_age_s = _MAX_AGE_MS / _MS_PER_S
+        self.hosts_age_s = _MAX_AGE_MS / _MS_PER_S
 
     @classmethod
-    def read(cls, raw: bytes) -> News:
-        """Read a datagram.
+    def read(cls, raw: bytes) -> Announcement:
+        """Decode a datagram.
 
         Raises:
-            Malformed: it is cut short.
+            Malformed: The datagram is truncated.
         """
-        fields = _unpack(_NEWS, raw)
-        news = cls()
-        news.stopping = bool(fields[1])
-        news.version = fields[2]
-        news.operator_age_s = fields[3] / _MS
-        news.hosts_age_s = fields[4] / _MS
-        return news
+        fields = _unpack(_ANNOUNCEMENT, raw)
+        announcement = cls()
+        announcement.stopping = bool(fields[1])
+        announcement.version = fields[2]
+        announcement.operator_age_s = fields[3] / _MS_PER_S
+        announcement.hosts_age_s = fields[4] / _MS_PER_S
+        return announcement
 
     def pack(self) -> bytes:
-        """Return the datagram."""
-        return _NEWS.pack(
-            NEWS,
+        """Return the encoded datagram."""
+        return _ANNOUNCEMENT.pack(
+            ANNOUNCEMENT,
             self.stopping,
             self.version,
             _age_ms(self.operator_age_s),
@@ -429,19 +436,19 @@
 
 
 class Record:
-    """What the store says of a host and the operator of its data centre.
+    """State of a host and its data centre according to the store.
 
     Attributes:
-        flags: bits, see the constants of this module.
-        service: digest of the service in the host's entry.
-        age_s: time since the store confirmed this.
-        slots: requests that the host works on at a time.
-        revision: store revision of the read.
-        born_ms: start of the host's life, 0 if unknown.
-        cold_s: for how much longer the host is cold.
-        cold_per_s: requests a second that a cold host of the service bears.
-        operator_revision: store revision of what the operator wrote.
-        version: the configuration in force.
+        flags: Bits, see the constants of this module.
+        service: Digest of the service in the host's record.
+        age_s: Seconds since the store confirmed the record.
+        slots: Number of requests that the host processes concurrently.
+        revision: Store revision of the read.
+        born_ms: Start of the host's incarnation, 0 if unknown.
+        cold_s: Remaining warm-up time of the host, in seconds.
+        cold_per_s: Requests a second that a cold host of the service accepts.
+        operator_revision: Store revision of the operator keys.
+        version: Version of the configuration in force.
     """
 
     __slots__ = (
@@ -458,7 +465,7 @@
     )
 
     def __init__(self) -> None:
-        """Say nothing of the host."""
+        """Create a record of a host that is not in the store."""
         self.flags = 0
         self.service = 0
         self.age_s: float = 0
@@ -472,23 +479,23 @@
 
     @classmethod
     def read(cls, raw: bytes) -> Record:
-        """Read a datagram.
+        """Decode a datagram.
 
         Raises:
-            Malformed: it is cut short.
+            Malformed: The datagram is truncated.
         """
         fields = _unpack(_RECORD, raw)
         record = cls()
         record.flags, record.service = fields[1:3]
-        record.age_s = fields[3] / _MS
+        record.age_s = fields[3] / _MS_PER_S
         record.slots, record.revision, record.born_ms = fields[4:7]
-        record.cold_s = fields[7] / _MS
-        record.cold_per_s = fields[8] / _MS
+        record.cold_s = fields[7] / _MS_PER_S
+        record.cold_per_s = fields[8] / _MS_PER_S
         record.operator_revision, record.version = fields[9:11]
         return record
 
     def pack(self) -> bytes:
-        """Return the datagram."""
+        """Return the encoded datagram."""
         return _RECORD.pack(
             RECORD,
             self.flags,
@@ -505,12 +512,12 @@
 
 
 def wait_ms(seconds: float) -> int:
-    """Return a wait as messages state it."""
-    return min(int(seconds * _MS), MOST_WAIT_MS - 1)
+    """Return a wait in milliseconds, capped below MOST_WAIT_MS."""
+    return min(int(seconds * _MS_PER_S), MOST_WAIT_MS - 1)
 
 
 def pack_addresses(kind: int, *groups: list[bytes]) -> bytes:
-    """Write lists of addresses, each with its length before it."""
+    """Return a datagram with lists of addresses, each prefixed by its length."""
     parts = [bytes((kind,))]
     for group in groups:
         parts.append(len(group).to_bytes(2, 'big'))
@@ -519,7 +526,7 @@
 
 
 def unpack_addresses(raw: bytes) -> list[bytes]:
-    """Split a run of addresses."""
+    """Split concatenated addresses."""
     steps = range(0, len(raw), _ADDRESS_BYTES)
     return [raw[step : step + _ADDRESS_BYTES] for step in steps]
 
@@ -534,26 +541,26 @@
 
 
 def pack_piece(version: int, index: int, count: int, piece: bytes) -> bytes:
-    """Write one piece of a configuration."""
+    """Return a datagram with one piece of a configuration."""
     return _PIECE.pack(CONFIGURATION, version, index, count) + piece
 
 
 def read_piece(raw: bytes) -> tuple[int, int, int, bytes]:
-    """Return version, index, count of pieces and one piece.
+    """Return version, index, number of pieces and the piece itself.
 
     Raises:
-        Malformed: the datagram is cut short.
+        Malformed: The datagram is truncated.
     """
     _, version, index, count = _unpack(_PIECE, raw)
     return version, index, count, raw[_PIECE.size :]
 
 
 def _age_ms(seconds: float) -> int:
-    return min(_MAX_AGE_MS, max(0, int(seconds * _MS)))
+    return min(_MAX_AGE_MS, max(0, int(seconds * _MS_PER_S)))
 
 
 def _unpack(layout: Struct, raw: bytes) -> tuple[Any, ...]:
     try:
         return layout.unpack_from(raw)
     except StructError:
-        raise Malformed(f'{len(raw)} bytes are too few') from None
+        raise Malformed(f'datagram of {len(raw)} bytes is too short') from None
--- a/siskinbank/relay/meters.py
+++ b/siskinbank/relay/meters.py
@@ -1,46 +1,48 @@
-"""Counters and latency histograms, as text for the metrics address."""
+"""Counters and latency histograms in the Prometheus text format."""
 
 from __future__ import annotations
 
 __all__ = ('Meters',)
 
-# Upper edges of the latency histograms, in seconds: doublings from 1 ms to
+# Upper limits of the histogram buckets, in seconds: powers of two from 1 ms to
 # beyond the longest deadline.
-_EDGES = tuple(0.001 * 2**step for step in range(14))
-_BUCKETS = range(len(_EDGES) + 1)
+_BUCKET_LIMITS_S = tuple(0.001 * 2**index for index in range(14))
+_BUCKETS = range(len(_BUCKET_LIMITS_S) + 1)
 
 
 class Meters:
-    """The counters of one process, made on first use."""
+    """Counters and histograms of one process, created on first use."""
 
     __slots__ = ('_counts', '_histograms')
 
     def __init__(self) -> None:
-        """Start with none."""
+        """Create an empty collection."""
         self._counts: dict[str, int] = {}
         self._histograms: dict[str, list[int]] = {}
 
     def count(self, name: str, amount: int = 1) -> None:
-        """Add to a counter."""
+        """Increase a counter."""
         self._counts[name] = self._counts.get(name, 0) + amount
 
     def value(self, name: str) -> int:
-        """Return a counter, 0 if it was never counted."""
+        """Return the value of a counter, 0 if it does not exist."""
         return self._counts.get(name, 0)
 
     def time(self, name: str, seconds: float) -> None:
-        """Add a time to a histogram."""
+        """Record a duration in a histogram."""
         buckets = self._histograms.get(name)
         if buckets is None:
             buckets = [0 for _ in _BUCKETS]
             self._histograms[name] = buckets
-        step = 0
-        while step < len(_EDGES) and seconds > _EDGES[step]:
-            step += 1
-        buckets[step] += 1
+        index = 0
+        while (
+            index < len(_BUCKET_LIMITS_S) and seconds > _BUCKET_LIMITS_S[index]
+        ):
+            index += 1
+        buckets[index] += 1
 
     def text(self) -> str:
-        """Write all of them in the exposition format of Prometheus."""
+        """Return all metrics in the Prometheus exposition format."""
         lines = [
             f'siskinbank_{name} {self._counts[name]}'
             for name in sorted(self._counts)
@@ -53,9 +55,9 @@
 def _histogram_lines(name: str, buckets: list[int]) -> list[str]:
     lines = []
     total = 0
-    edges = [f'{edge:.3f}' for edge in _EDGES] + ['+Inf']
-    for edge, amount in zip(edges, buckets, strict=True):
+    limits = [f'{limit:.3f}' for limit in _BUCKET_LIMITS_S] + ['+Inf']
+    for limit, amount in zip(limits, buckets, strict=True):
         total += amount
-        lines.append(f'siskinbank_{name}_bucket{{le="{edge}"}} {total}')
+        lines.append(f'siskinbank_{name}_bucket{{le="{limit}"}} {total}')
     lines.append(f'siskinbank_{name}_count {total}')
     return lines
--- a/siskinbank/relay/node.py
+++ b/siskinbank/relay/node.py
@@ -1,4 +1,4 @@
-"""What entry and sidecar share: sockets, settings, signals, metrics."""
+"""Common base of entry and sidecar: sockets, settings, signals, metrics."""
 
 from __future__ import annotations
 
@@ -31,34 +31,48 @@
     from _socket import socket
     from collections.abc import Callable
 
-    #: Takes a datagram and the address of its sender.
+    #: Called with a datagram and the IP address of its sender.
     Handler = Callable[[bytes, str], None]
 
 __all__ = ('Node',)
 
 METRICS_PATH = '/metrics'
-# The port that deploy/system.toml names for metrics.
+# The metrics port named in deploy/system.toml.
 METRICS_PORT = 9464
 
-# The longest datagram: a packet, the head around it, and candidates.
-_READ_BYTES = 4096
-# Settings may change without a signal; they are looked at this often, in
-# seconds: seeds may come late, and a start without them waits for this.
-_SETTINGS_S = 1.0
-# Signals are served this often, in seconds: a small part of the six that a
-# planned stop may take.
-_SIGNALS_S = 0.1
+# The longest datagram: a packet, its message head and the candidates.
+_MAX_DATAGRAM_BYTES = 4096
+# Interval between reloads of the settings, in seconds. Settings may change
+# without a signal, and a start without seeds waits until they are added.
+_RELOAD_INTERVAL_S = 1.0
+# Interval between checks for signals, in seconds: a small part of the six
+# seconds that a planned stop may take.
+_SIGNAL_INTERVAL_S = 0.1
 
 
 class Node:
-    """One process on the platform: its surroundings, without its job."""
+    """Process environment shared by entry and sidecar.
+
+    Attributes:
+        loop: Event loop.
+        log: Event log.
+        meters: Counters and histograms.
+        settings: Settings in force.
+        packed_ip: IP address of this process as 4 bytes.
+        handlers: Handlers of peer messages, by message kind.
+        ready: Returns whether the readiness probe succeeds.
+        stopping: Called on SIGTERM.
+    """
 
     def __init__(self, path: str) -> None:
-        """Read the settings and open what both programs need.
+        """Read the settings, open the sockets and install signal handlers.
+
+        Args:
+            path: Path of the settings file.
 
         Raises:
-            OSError: settings or an address cannot be had.
-            Unreadable: the settings make no sense.
+            OSError: The settings cannot be read or an address not be bound.
+            Unreadable: The settings are invalid.
         """
         self.loop = Loop()
         self.log = Log(self.loop)
@@ -69,19 +83,19 @@
         self.ready: Callable[[], bool] = bool
         self.stopping: Callable[[], None] = self.stop
         self._path = path
-        self._term = False
-        self._hup = False
-        self._peers = open_datagrams(
+        self._stop_requested = False
+        self._reload_requested = False
+        self._peer_socket = open_datagrams(
             (self.settings.ip, self.settings.peer_port)
         )
-        self.loop.watch(self._peers.fileno(), self._receive)
+        self.loop.watch(self._peer_socket.fileno(), self._receive)
         signal(SIGPIPE, SIG_IGN)
-        signal(SIGTERM, self._note_signal)
-        signal(SIGHUP, self._note_signal)
-        self.loop.every(_SIGNALS_S, self._serve_signals)
-        self.loop.every(_SETTINGS_S, self.reload)
-        self.loop.on_stall(self._note_stall)
-        self.loop.on_fault = self._note_fault
+        signal(SIGTERM, self._record_signal)
+        signal(SIGHUP, self._record_signal)
+        self.loop.every(_SIGNAL_INTERVAL_S, self._handle_signals)
+        self.loop.every(_RELOAD_INTERVAL_S, self.reload)
+        self.loop.on_stall(self._log_stall)
+        self.loop.on_fault = self._log_fault
         self._servers = [
             Server(
                 self.loop,
@@ -92,14 +106,14 @@
         self._serve_metrics()
 
     def send(self, ip: str, datagram: bytes) -> None:
-        """Send a datagram to the process of this system at an address."""
+        """Send a datagram to the peer port at an IP address."""
         try:
-            self._peers.sendto(datagram, (ip, self.settings.peer_port))
+            self._peer_socket.sendto(datagram, (ip, self.settings.peer_port))
         except OSError:
             self.meters.count('send_errors_total')
 
     def run(self) -> None:
-        """Serve until the platform ends this process."""
+        """Run until the platform stops this process."""
         settings = self.settings
         self.log(
             'process.start',
@@ -114,11 +128,11 @@
         self.log.flush()
 
     def stop(self) -> None:
-        """End the process after this turn."""
+        """Stop the process after the current turn."""
         self.loop.stop()
 
     def reload(self) -> None:
-        """Read the settings again; what makes no sense changes nothing."""
+        """Reload the settings; keep the current ones if the new ones are invalid."""
         try:
             fresh = read_settings(self._path)
         except (OSError, Unreadable) as error:
@@ -140,13 +154,13 @@
         reason: str,
         **inputs: object,
     ) -> None:
-        """End the flow of a client's packet.
+        """Reset the flow of a client's packet.
 
         Args:
-            sender: any socket of this process.
-            packet: the packet.
-            reason: why, for the log.
-            inputs: what else decided it, for the log.
+            sender: Any socket of this process.
+            packet: Packet of the flow.
+            reason: Reason for the log.
+            inputs: Other values behind the decision, for the log.
         """
         key = packet[FLOW_KEY]
         self.meters.count('resets_total')
@@ -158,9 +172,9 @@
             self.meters.count('send_errors_total')
 
     def _receive(self, events: int) -> None:
-        read_datagrams(self._peers, _READ_BYTES, self._handle)
+        read_datagrams(self._peer_socket, _MAX_DATAGRAM_BYTES, self._dispatch)
 
-    def _handle(self, datagram: bytes, address: tuple[str, int]) -> None:
+    def _dispatch(self, datagram: bytes, address: tuple[str, int]) -> None:
         sender = address[0]
         handler = self.handlers.get(datagram[0]) if datagram else None
         if handler is None:
@@ -192,23 +206,23 @@
             return
         self._servers.append(server)
 
-    def _note_signal(self, number: int, frame: object) -> None:
+    def _record_signal(self, number: int, frame: object) -> None:
         if number == SIGTERM:
-            self._term = True
+            self._stop_requested = True
         else:
-            self._hup = True
+            self._reload_requested = True
 
-    def _serve_signals(self) -> None:
-        if self._hup:
-            self._hup = False
+    def _handle_signals(self) -> None:
+        if self._reload_requested:
+            self._reload_requested = False
             self.reload()
-        if self._term:
-            self._term = False
+        if self._stop_requested:
+            self._stop_requested = False
             self.log('process.stopping', instance=self.settings.instance)
             self.stopping()
 
-    def _note_fault(self, fault: Exception) -> None:
-        """Log a fault of the program with the place where it happened."""
+    def _log_fault(self, fault: Exception) -> None:
+        """Log an unexpected exception with file and line where it was raised."""
         trace = fault.__traceback__
         while trace is not None and trace.tb_next is not None:
             trace = trace.tb_next
@@ -224,6 +238,6 @@
             place=place,
         )
 
-    def _note_stall(self, lost: float) -> None:
+    def _log_stall(self, stalled_s: float) -> None:
         self.meters.count('stalls_total')
-        self.log('process.stalled', seconds=round(lost, 2))
+        self.log('process.stalled', seconds=round(stalled_s, 2))
--- a/siskinbank/relay/records.py
+++ b/siskinbank/relay/records.py
@@ -1,4 +1,4 @@
-"""What a reader of the store tells the sidecar of a host."""
+"""Builds the host records that a reader of the store sends to sidecars."""
 
 from __future__ import annotations
 
@@ -16,10 +16,11 @@
     ip: str,
     now: float,
 ) -> messages.Record | None:
-    """Put together what the store says of the host at an address.
+    """Return the record message for the host at an IP address.
 
     Returns:
-        None while the host's absence from the store says nothing.
+        None if the host has no record in the store and its absence does not
+        yet show that it is gone.
     """
     host = follower.hosts.get(ip)
     if host is None and not follower.trusts_absence():
@@ -36,13 +37,13 @@
     record.flags |= messages.REGISTERED
     if host.draining:
         record.flags |= messages.DRAINING
-    if host.data_centre in follower.out:
+    if host.data_centre in follower.evacuated:
         record.flags |= messages.OUT
     record.service = messages.digest(host.service)
     record.slots = host.slots
     record.born_ms = host.born_ms
     record.cold_s = max(0, host.cold_s - record.age_s)
-    warmth = follower.configuration.warmths.get(host.service)
-    if warmth:
-        record.cold_per_s = warmth.per_s
+    warm_up = follower.configuration.warmths.get(host.service)
+    if warm_up:
+        record.cold_per_s = warm_up.per_s
     return record
--- a/tests/relay/test_end_to_end.py
+++ b/tests/relay/test_end_to_end.py
@@ -1,4 +1,4 @@
-"""Both real programs among stand-ins of the platform, on loopback."""
+"""End-to-end tests: real processes and platform stand-ins on loopback."""
 
 import asyncio
 import tempfile
@@ -13,8 +13,9 @@
 from siskinbank.platform.packets import ACK, BOUNCED, SYN
 from siskinbank.platform.store import HOSTS
 
-# What the platform allows from an operator's or a host's word to its effect.
-_APPLY_S = 3
+# Limit of the platform from a change by operator or host to its effect, in
+# seconds.
+_MAX_APPLY_S = 3
 
 
 class TestFleet(unittest.IsolatedAsyncioTestCase):
@@ -29,33 +30,33 @@
         await self.fleet.open()
         await self.fleet.settle()
 
-    def runs(self, name: str) -> int:
-        """Count the runs of a request over all hosts."""
+    def count_runs(self, name: str) -> int:
+        """Return how often a request ran, over all hosts."""
         return sum(host.runs.count(name) for host in self.fleet.hosts)
 
     async def eventually(
         self,
         check: Callable[[], Awaitable[bool]],
-        seconds: float = _APPLY_S,
+        seconds: float = _MAX_APPLY_S,
     ) -> None:
-        """Wait until the check holds, or fail."""
+        """Wait until the check succeeds; fail after a timeout."""
         async with asyncio.timeout(seconds):
             while not await check():
                 await asyncio.sleep(0.05)
 
-    async def test_each_request_runs_once_and_nothing_is_altered(self) -> None:
-        """On a calm day, through each entry."""
+    async def test_each_request_runs_once_unaltered(self) -> None:
+        """Without faults, through each entry."""
         for number in range(30):
             client = self.fleet.clients[number % 2]
             body = await client.request(TARGET, f'calm-{number}')
             self.assertTrue(body.startswith(f'calm-{number} '), body)
-            self.assertEqual(self.runs(f'calm-{number}'), 1)
+            self.assertEqual(self.count_runs(f'calm-{number}'), 1)
         hosts, clients = self.fleet.hosts, self.fleet.clients
         self.assertEqual([host.broken for host in hosts], [0, 0, 0])
         self.assertEqual([client.broken for client in clients], [0, 0])
 
-    async def test_a_flow_survives_its_entry(self) -> None:
-        """Its packets find the host through another entry."""
+    async def test_flow_survives_entry_failure(self) -> None:
+        """After an entry failure another entry finds the host of a flow."""
         client = self.fleet.clients[0]
         flow = await client.connect(TARGET)
         before = await client.ask(flow, 'before')
@@ -64,8 +65,8 @@
         after = await client.ask(flow, 'after')
         self.assertEqual(before.split()[1], after.split()[1])
 
-    async def test_a_flow_survives_all_processes(self) -> None:
-        """Entries and sidecars are killed at once; hosts still know it."""
+    async def test_flow_survives_restart_of_all_processes(self) -> None:
+        """Entries and sidecars are killed at once; the hosts keep the flow."""
         client = self.fleet.clients[0]
         flow = await client.connect(TARGET)
         before = await client.ask(flow, 'before')
@@ -78,8 +79,8 @@
         after = await client.ask(flow, 'after')
         self.assertEqual(before.split()[1], after.split()[1])
 
-    async def test_a_flow_of_a_host_that_restarted_is_reset(self) -> None:
-        """The host forgot it; its client need not wait for the deadline."""
+    async def test_flow_of_restarted_host_is_reset(self) -> None:
+        """The host has lost the flow; the client learns it before its deadline."""
         client = self.fleet.clients[0]
         flow = await client.connect(TARGET)
         body = await client.ask(flow, 'before')
@@ -92,8 +93,8 @@
         with self.assertRaisesRegex(Refused, 'reset'):
             await client.ask(flow, 'after')
 
-    async def test_a_flow_of_a_machine_without_power_is_reset(self) -> None:
-        """Long before the store forgets the host; also by a new entry."""
+    async def test_flow_of_failed_machine_is_reset(self) -> None:
+        """Long before the host's record expires; also by a restarted entry."""
         client = self.fleet.clients[0]
         for restarted in (False, True):
             await self.fleet.settle()
@@ -110,44 +111,44 @@
             await self.fleet.hosts[index].open()
             self.fleet.sidecars[index].start()
 
-    async def test_a_draining_host_gets_no_new_flows(self) -> None:
-        """Soon after the store says so; its open flows go on."""
+    async def test_draining_host_gets_no_new_flows(self) -> None:
+        """Soon after its record changes; its open flows continue."""
         client = self.fleet.clients[0]
         flow = await client.connect(TARGET)
         first = await client.ask(flow, 'first')
         index = int(first.split()[1].removeprefix('i-'))
         await self.fleet.register(index, draining=True)
-        await asyncio.sleep(_APPLY_S)
-        taken = len(self.fleet.hosts[index].taken)
+        await asyncio.sleep(_MAX_APPLY_S)
+        accepted = len(self.fleet.hosts[index].taken)
         for number in range(20):
             await self.fleet.clients[number % 2].request(TARGET, f'd-{number}')
-        self.assertEqual(len(self.fleet.hosts[index].taken), taken)
+        self.assertEqual(len(self.fleet.hosts[index].taken), accepted)
         self.assertEqual(await client.ask(flow, 'last'), f'last i-{index}')
 
-    async def test_a_data_centre_out_gets_no_new_flows(self) -> None:
-        """Hosts 0 and 2 stand in data centre a."""
+    async def test_evacuated_data_centre_gets_no_new_flows(self) -> None:
+        """Data centre a is evacuated; it has hosts 0 and 2."""
         await self.fleet.take_out('a')
-        await asyncio.sleep(_APPLY_S)
+        await asyncio.sleep(_MAX_APPLY_S)
         before = [len(host.taken) for host in self.fleet.hosts]
         for number in range(20):
             await self.fleet.clients[number % 2].request(TARGET, f'o-{number}')
         after = [len(host.taken) for host in self.fleet.hosts]
         self.assertEqual((after[0], after[2]), (before[0], before[2]))
 
-    async def test_an_entry_that_cannot_be_read_hides_no_other(self) -> None:
-        """Another writer's entries lie beside the hosts' own."""
+    async def test_unreadable_store_entry_hides_no_other(self) -> None:
+        """Other clients have written invalid records beside those of hosts."""
         broken = (b'\xff\x00', b'[]', b'{"Service": 7}', b'{"Service": "x"}')
         for number, content in enumerate(broken):
             await self.fleet.store.put(f'{HOSTS}0-{number}', content)
         await self.fleet.register(2, draining=True)
-        await asyncio.sleep(_APPLY_S)
-        taken = len(self.fleet.hosts[2].taken)
+        await asyncio.sleep(_MAX_APPLY_S)
+        accepted = len(self.fleet.hosts[2].taken)
         for number in range(10):
             await self.fleet.clients[0].request(TARGET, f'b-{number}')
-        self.assertEqual(len(self.fleet.hosts[2].taken), taken)
+        self.assertEqual(len(self.fleet.hosts[2].taken), accepted)
 
-    async def test_a_change_after_lost_history_is_in_force(self) -> None:
-        """The watch gets 410 and lists again."""
+    async def test_change_after_compaction_is_in_force(self) -> None:
+        """The watch gets status 410 and lists all keys again."""
         new = (TARGET[0], 8443)
         await asyncio.sleep(0.2)
         self.fleet.store.compact()
@@ -157,11 +158,11 @@
         self.fleet.store.compact()
         await self.eventually(lambda: _serves(self.fleet.clients[1], new))
 
-    async def test_a_dropped_route_is_refused_and_stays_so(self) -> None:
-        """At both entries; nobody goes back to the older version."""
+    async def test_removed_route_stays_refused(self) -> None:
+        """At both entries; none returns to the older configuration."""
         other = (TARGET[0], 8443)
         await self.fleet.publish([RouteEntry('matcher', other)])
-        await asyncio.sleep(_APPLY_S)
+        await asyncio.sleep(_MAX_APPLY_S)
         for client in self.fleet.clients:
             self.assertFalse(await _serves(client, TARGET))
             self.assertTrue(await _serves(client, other))
@@ -173,10 +174,10 @@
         ]
         self.assertRegex(resets[-1], r' version=\d+$')
 
-    async def test_it_serves_while_the_store_is_silent(self) -> None:
-        """Also from an entry that starts meanwhile: its peers know."""
+    async def test_serves_while_store_does_not_answer(self) -> None:
+        """An entry that starts meanwhile gets its state from peers."""
         self.fleet.store.silent = True
-        await asyncio.sleep(_APPLY_S)
+        await asyncio.sleep(_MAX_APPLY_S)
         entry = self.fleet.entries[1]
         entry.end()
         entry.start()
@@ -187,10 +188,10 @@
         self.assertTrue(await _serves(self.fleet.clients[0], TARGET))
         self.assertIn('store.lost', self.fleet.entries[0].log)
 
-    async def test_an_entry_that_the_store_refuses_learns_from_peers(
+    async def test_entry_refused_by_store_learns_from_peers(
         self,
     ) -> None:
-        """A new route reaches it within the time for changes."""
+        """A new route takes effect there within the limit for changes."""
         refused = self.fleet.entries[0].settings.ip
         self.fleet.store.busy = refused.__eq__
         new = (TARGET[0], 8080)
@@ -199,8 +200,8 @@
         )
         await self.eventually(lambda: _serves(self.fleet.clients[0], new))
 
-    async def test_bad_packets_end_nothing(self) -> None:
-        """Too short, false lengths, flags that make no sense."""
+    async def test_malformed_packets_are_dropped(self) -> None:
+        """Packets are too short, have wrong lengths or invalid flags."""
         client = self.fleet.clients[0]
         good = Packet(('127.0.0.9', 9), TARGET, SYN).write()
         bad = [b'', b'x', good[:30], good + b'more', bytes(31), bytes(2000)]
@@ -212,8 +213,8 @@
             client.send_raw(datagram)
         self.assertTrue(await _serves(client, TARGET))
 
-    async def test_a_planned_stop_cuts_no_request(self) -> None:
-        """A sidecar is told to stop while its host works."""
+    async def test_planned_stop_cuts_no_request(self) -> None:
+        """Sidecars get SIGTERM while a host processes a request."""
         for host in self.fleet.hosts:
             host.work_s = 0.5
         client = self.fleet.clients[0]
@@ -229,16 +230,16 @@
         ]
         self.assertEqual(codes, [0, 0, 0])
 
-    async def test_sighup_ends_nothing(self) -> None:
-        """Settings are read again."""
+    async def test_sighup_keeps_processes_serving(self) -> None:
+        """All processes reload their settings and go on serving."""
         for program in (*self.fleet.entries, *self.fleet.sidecars):
             program.signal(SIGHUP)
         await asyncio.sleep(0.3)
         for client in self.fleet.clients:
             self.assertTrue(await _serves(client, TARGET))
-        for living in (*self.fleet.entries, *self.fleet.sidecars):
-            self.assertIsNotNone(living.process)
-            self.assertIsNone(living.process and living.process.poll())
+        for running in (*self.fleet.entries, *self.fleet.sidecars):
+            self.assertIsNotNone(running.process)
+            self.assertIsNone(running.process and running.process.poll())
 
 
 async def _serves(client: ClientStandIn, target: tuple[str, int]) -> bool:
--- a/tests/relay/test_gossip.py
+++ b/tests/relay/test_gossip.py
@@ -1,4 +1,4 @@
-"""Tests of what entries tell each other, without sockets."""
+"""Tests of announcements between entries, without sockets."""
 
 import unittest
 from types import SimpleNamespace
@@ -13,15 +13,15 @@
 OTHERS = ('10.0.0.2', '10.0.0.3')
 
 
-class Circle:
-    """The surroundings of one entry.
+class GossipContext:
+    """Gossip of one entry with stand-ins for its collaborators.
 
     Attributes:
-        sent: kinds of the datagrams sent, with their receivers.
+        sent: Message kinds and receivers of the datagrams sent.
     """
 
     def __init__(self) -> None:
-        """Know two other entries."""
+        """Create the gossip and let it receive announcements of two entries."""
         self.sent: list[tuple[int, str]] = []
         self.configuration = SimpleNamespace(version=0)
         follower: Any = SimpleNamespace(
@@ -42,28 +42,34 @@
             log=self._log,
             send=self._send,
         )
-        handover: Any = SimpleNamespace(ask_if_newer=lambda *_: None)
-        self.gossip = Gossip(node, HostBeliefs(), follower, handover)
+        configuration_transfer: Any = SimpleNamespace(
+            ask_if_newer=lambda *_: None
+        )
+        self.gossip = Gossip(
+            node, HostBeliefs(), follower, configuration_transfer
+        )
         for ip in OTHERS:
-            node.handlers[messages.NEWS](messages.News().pack(), ip)
+            node.handlers[messages.ANNOUNCEMENT](
+                messages.Announcement().pack(), ip
+            )
 
     def _log(self, event: str, **_inputs: object) -> None:
-        """Keep no log."""
+        """Discard the event."""
 
     def _send(self, ip: str, datagram: bytes) -> None:
         self.sent.append((datagram[0], ip))
 
 
-class TestChanges(unittest.TestCase):
-    """Load pattern: one entry has read what all others wait for."""
+class TestChangeAnnouncement(unittest.TestCase):
+    """Load pattern: one entry has read a configuration that the others need."""
 
-    def test_a_change_is_told_at_once(self) -> None:
-        """To all, and once."""
-        circle = Circle()
-        circle.configuration.version = 7
-        circle.sent.clear()
-        circle.gossip.tell_of_change()
-        wanted = [(messages.NEWS, ip) for ip in OTHERS]
-        self.assertEqual(circle.sent, wanted)
-        circle.gossip.tell_of_change()
-        self.assertEqual(circle.sent, wanted)
+    def test_change_is_announced_at_once(self) -> None:
+        """It is announced once, to all known entries."""
+        context = GossipContext()
+        context.configuration.version = 7
+        context.sent.clear()
+        context.gossip.tell_of_change()
+        expected = [(messages.ANNOUNCEMENT, ip) for ip in OTHERS]
+        self.assertEqual(context.sent, expected)
+        context.gossip.tell_of_change()
+        self.assertEqual(context.sent, expected)
--- a/tests/relay/test_lean.py
+++ b/tests/relay/test_lean.py
@@ -1,4 +1,4 @@
-"""Tests that the programs stay lean: what they load, and what they log."""
+"""Tests of start cost, logging and metrics of entry and sidecar."""
 
 import os
 import subprocess
@@ -12,7 +12,7 @@
 from siskinbank.relay.meters import Meters
 from tools.start_cost import command, cost
 
-# Each of these costs more at start than all the programs' own modules.
+# Importing any of these takes longer than all modules of entry and sidecar.
 HEAVY = {
     'asyncio',
     'click',
@@ -33,18 +33,18 @@
     'typing',
     'urllib',
 }
-_SHOW = 'import sys; import {}; print(*sys.modules)'
-# Processor time until a process can carry packets, beyond the interpreter.
-_START_S = 0.05
+_SHOW_MODULES = 'import sys; import {}; print(*sys.modules)'
+# CPU time of the imports beyond that of the bare interpreter, in seconds.
+_MAX_START_S = 0.05
 
 
 class TestStart(unittest.TestCase):
     """Instances restart several times a day on a fifth of a core."""
 
     def test_no_heavy_module_is_loaded(self) -> None:
-        """Neither by an entry nor by a sidecar."""
+        """Neither entry nor sidecar imports a heavy module."""
         for name in ('entry', 'sidecar'):
-            code = _SHOW.format(
+            code = _SHOW_MODULES.format(
                 f'siskinbank.relay.main, siskinbank.relay.{name}'
             )
             with self.subTest(name=name):
@@ -52,36 +52,36 @@
                 self.assertEqual(loaded & HEAVY, set())
 
     def test_processor_time(self) -> None:
-        """The best of some rounds, against the interpreter alone."""
+        """Compares the best of several runs with the bare interpreter."""
         for name in ('entry', 'sidecar'):
             code = f'import siskinbank.relay.main, siskinbank.relay.{name}'
             with self.subTest(name=name):
-                self.assertLess(cost(code) - cost('pass'), _START_S)
+                self.assertLess(cost(code) - cost('pass'), _MAX_START_S)
 
 
 class TestLog(unittest.TestCase):
-    """Bounded, and never in the way."""
+    """Log output is limited and does not block."""
 
     def setUp(self) -> None:
-        """Let standard output be a pipe that nobody reads."""
+        """Redirect standard output to a pipe that nobody reads."""
         self.reader, writer = os.pipe2(os.O_NONBLOCK)
-        kept = os.dup(1)
+        saved_stdout = os.dup(1)
         os.dup2(writer, 1)
         os.close(writer)
         self.addCleanup(os.close, self.reader)
-        self.addCleanup(os.close, kept)
-        self.addCleanup(os.dup2, kept, 1)
+        self.addCleanup(os.close, saved_stdout)
+        self.addCleanup(os.dup2, saved_stdout, 1)
 
-    def test_a_flood_without_a_reader(self) -> None:
-        """It ends soon, and what was dropped is counted afterwards."""
+    def test_many_lines_without_a_reader(self) -> None:
+        """Logging does not block, and the dropped lines are counted."""
         loop = Loop()
         log = Log(loop)
-        began = time.monotonic()
+        started = time.monotonic()
         for number in range(20000):
             log('flow.placed', flow=number)
             if number % 100 == 0:
                 log.flush()
-        self.assertLess(time.monotonic() - began, 2)
+        self.assertLess(time.monotonic() - started, 2)
         text = self._read()
         self.assertLessEqual(text.count('\n'), 300)
         log.flush()
@@ -89,7 +89,7 @@
         self.assertIn(dropped, text + self._read())
 
     def test_a_slow_reader_gets_whole_lines(self) -> None:
-        """Load pattern: more lines than a pipe holds, read bit by bit."""
+        """Load pattern: more lines than fit into a pipe with a slow reader."""
         fcntl(1, F_SETPIPE_SZ, 4096)
         log = Log(Loop())
         text = ''
@@ -107,8 +107,8 @@
         self.assertEqual(text.count('flow='), len(whole))
         self.assertIn('log.dropped', text)
 
-    def test_numbers_are_given_once(self) -> None:
-        """Each event has one of its own."""
+    def test_event_numbers_are_unique(self) -> None:
+        """No two events share a number."""
         self.assertEqual(len(set(EVENTS.values())), len(EVENTS))
 
     def _read(self) -> str:
@@ -122,7 +122,7 @@
     """Counters and histograms."""
 
     def test_text(self) -> None:
-        """As a collector reads it; buckets add up."""
+        """The text is as Prometheus reads it, with cumulative buckets."""
         meters = Meters()
         meters.count('resets_total')
         meters.count('resets_total', 2)
--- a/tests/relay/test_loop.py
+++ b/tests/relay/test_loop.py
@@ -1,4 +1,4 @@
-"""Tests of the event loop, and of HTTP on it."""
+"""Tests of the event loop and of its HTTP client and server."""
 
 import socket
 import struct
@@ -11,13 +11,13 @@
 from siskinbank.relay.loop import Loop
 
 _RESET = struct.pack('ii', 1, 0)
-# Longer than any of these tests needs, in seconds.
-_LONG_S = 5
+# Time limit of each test, in seconds; longer than any of them needs.
+_TEST_TIMEOUT_S = 5
 
 
 def run_until(loop: Loop, done: Callable[[], bool]) -> None:
-    """Run the loop until something is so."""
-    deadline = time.monotonic() + _LONG_S
+    """Run the loop until a condition holds or time is up."""
+    deadline = time.monotonic() + _TEST_TIMEOUT_S
 
     def check() -> None:
         if done() or time.monotonic() > deadline:
@@ -29,10 +29,10 @@
 
 
 class TestLoop(unittest.TestCase):
-    """Timers and faults."""
+    """Timers and exceptions of callbacks."""
 
     def test_timers(self) -> None:
-        """Once, again and again, or not at all."""
+        """Single, periodic and cancelled timers."""
         loop = Loop()
         calls: list[str] = []
         loop.after(0.02, lambda: calls.append('once'))
@@ -42,8 +42,8 @@
         self.assertEqual(calls.count('once'), 1)
         self.assertNotIn('never', calls)
 
-    def test_a_fault_ends_no_other_subscriber(self) -> None:
-        """It is reported; without a taker it ends the process."""
+    def test_error_in_one_callback_leaves_others_running(self) -> None:
+        """The exception goes to on_fault, or out of the loop without one."""
         loop = Loop()
         faults: list[Exception] = []
         calls: list[int] = []
@@ -62,10 +62,10 @@
 
 
 class TestClient(unittest.TestCase):
-    """Calls to a server that misbehaves."""
+    """Requests to a misbehaving server."""
 
-    def answer_of(self, serve: Callable[[socket.socket], None]) -> int:
-        """Return the status of one call to a server."""
+    def request_status(self, serve: Callable[[socket.socket], None]) -> int:
+        """Return the status of one request to a server."""
         listener = socket.create_server(('127.0.0.1', 0))
         self.addCleanup(listener.close)
 
@@ -78,14 +78,14 @@
         self.addCleanup(thread.join)
         loop = Loop()
         client = Client(loop, listener.getsockname())
-        found: list[int] = []
-        client.get('/', 0.3, lambda status, body: found.append(status))
-        run_until(loop, lambda: bool(found))
+        responses: list[int] = []
+        client.get('/', 0.3, lambda status, body: responses.append(status))
+        run_until(loop, lambda: bool(responses))
         client.close()
-        return found[0]
+        return responses[0]
 
-    def test_a_whole_answer(self) -> None:
-        """In two parts."""
+    def test_response_in_two_parts(self) -> None:
+        """The head is split between two segments."""
 
         def serve(connection: socket.socket) -> None:
             self.addCleanup(connection.close)
@@ -94,10 +94,10 @@
             time.sleep(0.05)
             connection.send(b'gth: 2\r\n\r\n{}')
 
-        self.assertEqual(self.answer_of(serve), 200)
+        self.assertEqual(self.request_status(serve), 200)
 
-    def test_reset_at_once(self) -> None:
-        """Before or after the request."""
+    def test_connection_reset(self) -> None:
+        """The server resets the connection, before or after the request."""
 
         def serve(connection: socket.socket) -> None:
             option = (socket.SOL_SOCKET, socket.SO_LINGER)
@@ -105,12 +105,13 @@
             connection.close()
 
         for _ in range(5):
-            self.assertEqual(self.answer_of(serve), 0)
+            self.assertEqual(self.request_status(serve), 0)
 
-    def test_an_opening_packet_is_lost(self) -> None:
-        """Load pattern: a cut ends just after processes started.
+    def test_lost_syn(self) -> None:
+        """Load pattern: a network partition ends soon after a process start.
 
-        The system would repeat the packet a second later.
+        The kernel would retransmit the lost SYN only after a second; the client
+        abandons the connection before that.
         """
         listener = socket.create_server(('127.0.0.1', 0), backlog=0)
         self.addCleanup(listener.close)
@@ -123,28 +124,30 @@
         loop = Loop()
         client = Client(loop, address)
         self.addCleanup(client.close)
-        found: list[int] = []
-        began = time.monotonic()
-        client.get('/', _LONG_S, lambda status, body: found.append(status))
-        run_until(loop, lambda: bool(found))
-        self.assertEqual(found, [0])
-        self.assertLess(time.monotonic() - began, 0.9)
-
-    def test_silence_and_half_an_answer(self) -> None:
-        """Given up after the time-out."""
+        responses: list[int] = []
+        started = time.monotonic()
+        client.get(
+            '/', _TEST_TIMEOUT_S, lambda status, body: responses.append(status)
+        )
+        run_until(loop, lambda: bool(responses))
+        self.assertEqual(responses, [0])
+        self.assertLess(time.monotonic() - started, 0.9)
+
+    def test_incomplete_response_times_out(self) -> None:
+        """The request is abandoned after its timeout."""
 
         def serve(connection: socket.socket) -> None:
             self.addCleanup(connection.close)
             connection.send(b'HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{')
 
-        self.assertEqual(self.answer_of(serve), 0)
+        self.assertEqual(self.request_status(serve), 0)
 
 
 class TestServer(unittest.TestCase):
-    """Probes, good and bad."""
+    """Valid and invalid requests."""
 
-    def test_callers_that_misbehave(self) -> None:
-        """They hinder nobody else."""
+    def test_malformed_requests_do_not_block_others(self) -> None:
+        """A client gets its response despite 40 malformed connections."""
         loop = Loop()
         address = ('127.0.0.1', _free_port())
         Server(loop, address, {'/ready': lambda: (503, 'not yet')})
@@ -154,22 +157,23 @@
             self.addCleanup(connection.close)
             connection.send(b'\xff' * number)
             bad.append(connection)
-            # More than the server keeps, and than it lets wait at a time.
+            # More connections than the server keeps open, and than its
+            # backlog holds.
             if number % 4 == 3:
                 bad[-2].close()
                 run_until(loop, _after(0.02))
         client = Client(loop, address)
-        found: list[tuple[int, bytes]] = []
-        client.get('/ready', 1, lambda *answer: found.append(answer))
-        run_until(loop, lambda: bool(found))
-        self.assertEqual(found, [(503, b'not yet')])
-        client.get('/other', 1, lambda *answer: found.append(answer))
-        run_until(loop, lambda: len(found) > 1)
+        responses: list[tuple[int, bytes]] = []
+        client.get('/ready', 1, lambda *answer: responses.append(answer))
+        run_until(loop, lambda: bool(responses))
+        self.assertEqual(responses, [(503, b'not yet')])
+        client.get('/other', 1, lambda *answer: responses.append(answer))
+        run_until(loop, lambda: len(responses) > 1)
 
 
 def _after(seconds: float) -> Callable[[], bool]:
-    edge = time.monotonic() + seconds
-    return lambda: time.monotonic() > edge
+    deadline = time.monotonic() + seconds
+    return lambda: time.monotonic() > deadline
 
 
 def _free_port() -> int:
--- a/tests/relay/test_messages.py
+++ b/tests/relay/test_messages.py
@@ -1,4 +1,4 @@
-"""Tests of the datagrams between the system's own processes."""
+"""Tests of the datagrams between entries and sidecars."""
 
 import unittest
 from contextlib import suppress
@@ -11,10 +11,10 @@
 
 
 class TestMessages(unittest.TestCase):
-    """There and back."""
+    """Encoding and decoding."""
 
     def test_opening(self) -> None:
-        """With candidates and the shortest wait."""
+        """All fields of an opening, with candidates and the shortest wait."""
         opening = messages.Opening(b'abcd', b'packet')
         opening.service = 7
         opening.version = 1 << 40
@@ -24,40 +24,44 @@
         opening.limit_ms = 1500
         opening.aim_ms = 150
         opening.hops = 2
-        found = messages.Opening.read(opening.pack())
+        decoded = messages.Opening.read(opening.pack())
         for name in messages.Opening.__slots__:
             with self.subTest(name=name):
-                self.assertEqual(getattr(found, name), getattr(opening, name))
-        self.assertEqual(found.pop_next(), '101.102.103.104')
+                self.assertEqual(getattr(decoded, name), getattr(opening, name))
+        self.assertEqual(decoded.pop_next(), '101.102.103.104')
 
     def test_status_and_record(self) -> None:
-        """All fields, ages bounded."""
+        """Fields are restored, and ages are limited."""
         status = messages.Status(7, 8)
         status.busy = 3
         status.record_age_ms = 1 << 50
-        found = messages.Status.read(status.pack())
-        self.assertEqual((found.busy, found.data_centre), (3, 8))
+        decoded = messages.Status.read(status.pack())
+        self.assertEqual((decoded.busy, decoded.data_centre), (3, 8))
         record = messages.Record()
         record.cold_per_s = 2.5
         record.age_s = 0.25
         record.flags = messages.OUT
-        again = messages.Record.read(record.pack())
-        self.assertEqual((again.cold_per_s, again.age_s), (2.5, 0.25))
-        self.assertEqual(again.flags, messages.OUT)
+        decoded_record = messages.Record.read(record.pack())
+        self.assertEqual(
+            (decoded_record.cold_per_s, decoded_record.age_s), (2.5, 0.25)
+        )
+        self.assertEqual(decoded_record.flags, messages.OUT)
 
-    def test_news_and_peers(self) -> None:
-        """Lists of entries and of sidecars stay apart."""
-        news = messages.News()
-        news.version = 9
-        self.assertEqual(messages.News.read(news.pack()).version, 9)
+    def test_announcement_and_peers(self) -> None:
+        """Lists of entries and of sidecars are kept separate."""
+        announcement = messages.Announcement()
+        announcement.version = 9
+        self.assertEqual(
+            messages.Announcement.read(announcement.pack()).version, 9
+        )
         raw = messages.pack_addresses(
             messages.PEERS, [b'aaaa'], [b'bbbb', b'cccc']
         )
-        found = messages.read_peers(raw)
-        self.assertEqual(found, ([b'aaaa'], [b'bbbb', b'cccc']))
+        decoded = messages.read_peers(raw)
+        self.assertEqual(decoded, ([b'aaaa'], [b'bbbb', b'cccc']))
 
-    def test_notes_and_pieces(self) -> None:
-        """About one flow, and of one configuration."""
+    def test_flow_notes_and_configuration_pieces(self) -> None:
+        """A note about one flow, and a piece of a configuration."""
         note = messages.flow_note(messages.REFUSED, b'k' * 12, 5, 8)
         self.assertEqual(messages.read_flow_note(note), (b'k' * 12, 5, 8))
         self.assertEqual(len(note), messages.FLOW_NOTE_BYTES)
@@ -65,7 +69,7 @@
         self.assertEqual(messages.read_piece(piece), (9, 1, 3, b'piece'))
 
     def test_keys(self) -> None:
-        """Of several flows in one datagram."""
+        """Several flow keys in one datagram; a truncated key is dropped."""
         keys = [bytes((number,)) * 12 for number in range(messages.MOST_KEYS)]
         raw = messages.pack_keys(messages.UNSURE, keys)
         self.assertLessEqual(len(raw), 1200)
@@ -73,19 +77,19 @@
         self.assertEqual(messages.read_keys(raw[:-1]), keys[:-1])
 
     def test_relayed(self) -> None:
-        """With the hosts to hand it on to, or without."""
+        """With and without hosts to forward the packet to."""
         for others in ([], [b'host', b'next']):
             raw = messages.relayed(b'from', others, b'packet')
-            found = messages.read_relayed(raw)
-            self.assertEqual(found, (b'from', others, b'packet'))
+            decoded = messages.read_relayed(raw)
+            self.assertEqual(decoded, (b'from', others, b'packet'))
 
     @given(st.binary(max_size=80))
-    def test_anything_else(self, raw: bytes) -> None:
-        """It is read or refused, never more."""
+    def test_arbitrary_bytes(self, raw: bytes) -> None:
+        """Decoding succeeds or raises Malformed, nothing else."""
         readers: tuple[Callable[[bytes], object], ...] = (
             messages.Opening.read,
             messages.Status.read,
-            messages.News.read,
+            messages.Announcement.read,
             messages.Record.read,
             messages.read_flow_note,
             messages.read_piece,
