--- a/siskinbank/relay/gossip.py
+++ b/siskinbank/relay/gossip.py
@@ -123,7 +123,7 @@
                 self._node.send(inet_ntoa(packed), _HELLO)
 
     def want_hosts(self) -> None:
-        """Request an early read of the hosts, regardless of this entry's rank."""
+        """Request an early read of the hosts, regardless of the own rank."""
         self._hosts_read_requested = True
 
     def _hosts_due(self) -> bool:
--- a/siskinbank/relay/log.py
+++ b/siskinbank/relay/log.py
@@ -88,7 +88,7 @@
         self._drop_unsent(unsent, written)
 
     def _drop_unsent(self, unsent: bytes, written: int) -> None:
-        """Keep the rest of a partially written line; drop and count the others."""
+        """Keep the rest of a partly written line; drop and count the others."""
         dropped = unsent[written:]
         if not written:
             dropped = dropped[len(self._partial_line) :]
--- a/siskinbank/relay/loop.py
+++ b/siskinbank/relay/loop.py
@@ -110,7 +110,7 @@
             self._timers.remove(timer)
 
     def on_stall(self, callback: Callable[[float], None]) -> None:
-        """Call back with the duration in seconds after a stall of the process."""
+        """Call back after a stall of the process with its length in seconds."""
         self._stall_callbacks.append(callback)
 
     def stop(self) -> None:
--- a/siskinbank/relay/messages.py
+++ b/siskinbank/relay/messages.py
@@ -87,9 +87,9 @@
 RECORD = 11
 ASK_CONFIGURATION = 12
 CONFIGURATION = 13
-# Query which of some flows a host holds, by key. Replies: flows that it does not
-# hold, and flows of which the sidecar does not know, as it started later than
-# its host.
+# Query which of some flows a host holds, by key. Replies: flows that it does
+# not hold, and flows of which the sidecar does not know, as it started later
+# than its host.
 ASK_FLOWS = 14
 NOT_HELD = 15
 UNSURE = 16
@@ -517,7 +517,7 @@
 
 
 def pack_addresses(kind: int, *groups: list[bytes]) -> bytes:
-    """Return a datagram with lists of addresses, each prefixed by its length."""
+    """Return a datagram with lists of addresses, each after its length."""
     parts = [bytes((kind,))]
     for group in groups:
         parts.append(len(group).to_bytes(2, 'big'))
--- a/siskinbank/relay/node.py
+++ b/siskinbank/relay/node.py
@@ -132,7 +132,7 @@
         self.loop.stop()
 
     def reload(self) -> None:
-        """Reload the settings; keep the current ones if the new ones are invalid."""
+        """Reload the settings; keep the current ones if that fails."""
         try:
             fresh = read_settings(self._path)
         except (OSError, Unreadable) as error:
@@ -222,7 +222,7 @@
             self.stopping()
 
     def _log_fault(self, fault: Exception) -> None:
-        """Log an unexpected exception with file and line where it was raised."""
+        """Log an unexpected exception with the file and line of its origin."""
         trace = fault.__traceback__
         while trace is not None and trace.tb_next is not None:
             trace = trace.tb_next
--- a/tests/relay/test_end_to_end.py
+++ b/tests/relay/test_end_to_end.py
@@ -80,7 +80,7 @@
         self.assertEqual(before.split()[1], after.split()[1])
 
     async def test_flow_of_restarted_host_is_reset(self) -> None:
-        """The host has lost the flow; the client learns it before its deadline."""
+        """The host has lost the flow, which is reset before its deadline."""
         client = self.fleet.clients[0]
         flow = await client.connect(TARGET)
         body = await client.ask(flow, 'before')
