--- a/siskinbank/sidecar/__init__.py
+++ b/siskinbank/sidecar/__init__.py
@@ -1,1 +1,1 @@
-"""The sidecar: owns the flows and requests of the upstream beside it."""
+"""The sidecar: owns the flows and requests of its local upstream."""
--- a/siskinbank/sidecar/announcer.py
+++ b/siskinbank/sidecar/announcer.py
@@ -1,4 +1,4 @@
-"""Tell other sidecars of the flows that they are asked for but do not own."""
+"""Announce owned flows to the sidecars that entries ask for them first."""
 
 import itertools
 import struct
@@ -19,9 +19,10 @@
 
 LEASE_SECONDS = 90
 _RENEW_SECONDS = 30
-#: The renewal is spread over so many steps of a period.
-_SLICES = 30
-#: A change is told again, because datagrams get lost and views lag.
+#: Steps over which one renewal period is spread.
+_RENEW_STEPS = 30
+#: Delays of the repeated announcements after a change, because datagrams get
+#: lost and the views of other processes lag behind.
 _REPEATS_SECONDS = (1, 3, 7, 12)
 _FLOWS_A_MESSAGE = 128
 _MAX_STARTED_PEERS = 128
@@ -29,7 +30,7 @@
 
 
 class Announcer:
-    """Sends pointers to this upstream's flows, and renews their leases."""
+    """Announces pointers to this upstream's flows and renews their leases."""
 
     def __init__(
         self,
@@ -38,69 +39,82 @@
         history: PoolHistory,
         incarnation: int,
     ) -> None:
-        """Announce ``flows`` where ``history`` says."""
+        """Initialize the announcer and start the renewal timer.
+
+        Args:
+            context: the sidecar's shared parts.
+            flows: the owned flows.
+            history: selects the receivers of each announcement.
+            incarnation: the incarnation of this process.
+        """
         self._context = context
         self._flows = flows
         self._history = history
         self._incarnation = incarnation
-        self._own = pack_address(context.settings.bind)
-        self._waiting: Iterator[bytes] = iter(())
-        self._slice = 0
+        self._own_address = pack_address(context.settings.bind)
+        self._unrenewed: Iterator[bytes] = iter(())
+        self._step = 0
         timers = context.process.timers
-        timers.every(_RENEW_SECONDS / _SLICES, self._renew, jitter=0.2)
+        timers.every(_RENEW_SECONDS / _RENEW_STEPS, self._renew, jitter=0.2)
 
     def pool_changed(self) -> None:
-        """Announce all flows now, and again for those who missed it."""
+        """Announce all flows now, and again for hosts that missed it."""
         self.announce_all()
         for delay in _REPEATS_SECONDS:
             self._context.process.timers.after(delay, self.announce_all)
 
-    def started(self) -> None:
-        """Ask the pool for pointers, as this process remembers nothing."""
-        self._ask()
+    def request_pointers(self) -> None:
+        """Ask the pool for pointers, as this process starts without any."""
+        self._send_started()
         for delay in _REPEATS_SECONDS:
-            self._context.process.timers.after(delay, self._ask)
+            self._context.process.timers.after(delay, self._send_started)
 
     def announce_new(self, flow: bytes) -> None:
-        """Announce a flow that was opened just now."""
-        self._send(self._by_home((flow,), new=True))
+        """Announce a flow that was just opened."""
+        self._send(self._group_by_receiver((flow,), new=True))
 
     def announce_all(self) -> None:
-        """Announce all flows that other hosts may be asked for."""
+        """Announce all flows that entries may offer to other hosts first."""
         now = self._context.process.timers.now
         recent: list[bytes] = []
         old: list[bytes] = []
         for flow in self._flows:
             owned = self._flows.get(flow)
-            young = owned is not None and now - owned.opened < LEASE_SECONDS
-            (recent if young else old).append(flow)
-        self._send(self._by_home(recent, new=True))
-        self._send(self._by_home(old, new=False))
-
-    def answer(self, address: bytes) -> None:
-        """Announce to one host that has restarted what it should know."""
-        homes = self._by_home(tuple(self._flows), new=False)
+            is_recent = owned is not None and now - owned.opened < LEASE_SECONDS
+            (recent if is_recent else old).append(flow)
+        self._send(self._group_by_receiver(recent, new=True))
+        self._send(self._group_by_receiver(old, new=False))
+
+    def announce_to(self, address: bytes) -> None:
+        """Announce to a restarted host the flows that it may be asked for."""
+        receivers = self._group_by_receiver(tuple(self._flows), new=False)
         self._send(
-            {to: homes[to] for to in homes if pack_address(to) == address}
+            {
+                to: receivers[to]
+                for to in receivers
+                if pack_address(to) == address
+            }
         )
 
-    def tell(
+    def send_pointer(
         self,
         receiver: bytes,
         flow: bytes,
         pointer: Pointer | None = None,
     ) -> None:
-        """Tell one host where a flow lives.
+        """Send one host the pointer to a flow.
 
         Args:
             receiver: the host's packed address.
             flow: the flow.
-            pointer: says where it lives, if not here.
+            pointer: the pointer to its owner; this host if None.
         """
         if pointer is None:
             generation = self._context.view.generation
-            pointer = Pointer(self._own, self._incarnation, generation, 0)
-        sent = Moved(
+            pointer = Pointer(
+                self._own_address, self._incarnation, generation, 0
+            )
+        message = Moved(
             self._context.service.ident if self._context.service else 0,
             pointer.address,
             pointer.incarnation,
@@ -108,63 +122,65 @@
             LEASE_SECONDS,
             _NUMBER.pack(flow_number(flow)),
         )
-        self._context.peers.send_message(sent, unpack_address(receiver))
+        self._context.peers.send_message(message, unpack_address(receiver))
 
     def _renew(self) -> None:
-        """Announce the next part of the flows that live away from home."""
-        if self._slice == 0:
-            self._waiting = iter(tuple(self._flows))
-        self._slice = (self._slice + 1) % _SLICES
-        size = len(self._flows) // _SLICES + 1
-        part = list(itertools.islice(self._waiting, size))
-        self._send(self._by_home(part, new=False))
-
-    def _by_home(
+        """Announce the next part of the flows owned off their primary host."""
+        if self._step == 0:
+            self._unrenewed = iter(tuple(self._flows))
+        self._step = (self._step + 1) % _RENEW_STEPS
+        size = len(self._flows) // _RENEW_STEPS + 1
+        chunk = list(itertools.islice(self._unrenewed, size))
+        self._send(self._group_by_receiver(chunk, new=False))
+
+    def _group_by_receiver(
         self,
         flows: Iterable[bytes],
         *,
         new: bool,
     ) -> dict[Address, list[int]]:
-        homes: dict[Address, list[int]] = {}
+        receivers: dict[Address, list[int]] = {}
         own = self._context.process.name
         for flow in flows:
             number = flow_number(flow)
-            for host in self._history.homes(number, own, new=new):
-                homes.setdefault(host.address, []).append(number)
-        return homes
+            for host in self._history.announcement_targets(
+                number, own, new=new
+            ):
+                receivers.setdefault(host.address, []).append(number)
+        return receivers
 
-    def _send(self, homes: dict[Address, list[int]]) -> None:
+    def _send(self, receivers: dict[Address, list[int]]) -> None:
         service = self._context.service
         if service is None:
             return
-        for address, numbers in homes.items():
-            for part in _parts(numbers):
-                sent = Moved(
+        for address, numbers in receivers.items():
+            for chunk in _pack_chunks(numbers):
+                message = Moved(
                     service.ident,
-                    self._own,
+                    self._own_address,
                     self._incarnation,
                     self._context.view.generation,
                     LEASE_SECONDS,
-                    part,
+                    chunk,
                 )
-                self._context.peers.send_message(sent, address)
+                self._context.peers.send_message(message, address)
 
-    def _ask(self) -> None:
+    def _send_started(self) -> None:
         service = self._context.service
         if service is None:
             return
-        sent = Started(service.ident, self._own, self._incarnation)
+        message = Started(service.ident, self._own_address, self._incarnation)
         own = self._context.process.name
         hosts = [host for host in service.hosts if host.name != own]
         for host in hosts[:_MAX_STARTED_PEERS]:
             if self._context.router.allows(pack_address(host.address)):
-                self._context.peers.send_message(sent, host.address)
+                self._context.peers.send_message(message, host.address)
 
 
-def _parts(numbers: list[int]) -> Iterator[bytes]:
+def _pack_chunks(numbers: list[int]) -> Iterator[bytes]:
     for start in range(0, len(numbers), _FLOWS_A_MESSAGE):
-        part = numbers[start : start + _FLOWS_A_MESSAGE]
-        yield b''.join(map(_NUMBER.pack, part))
+        chunk = numbers[start : start + _FLOWS_A_MESSAGE]
+        yield b''.join(map(_NUMBER.pack, chunk))
 
 
 def read_numbers(packed: bytes) -> list[int]:
--- a/siskinbank/sidecar/context.py
+++ b/siskinbank/sidecar/context.py
@@ -1,4 +1,4 @@
-"""What the parts of one sidecar share."""
+"""State shared by the parts of one sidecar."""
 
 from siskinbank.admission.judge import Verdict
 from siskinbank.admission.upstream import (
@@ -21,7 +21,7 @@
 
 
 _SWEEP_SECONDS = 1.0
-_EVENTS = {
+_EVENT_BY_VERDICT = {
     Verdict.cold: events.UPSTREAM_COLD,
     Verdict.unreachable: events.UPSTREAM_UNREACHABLE,
     Verdict.back: events.UPSTREAM_BACK,
@@ -30,7 +30,7 @@
 
 
 class SidecarContext:
-    """One sidecar's settings and shared parts."""
+    """The settings and shared parts of one sidecar."""
 
     def __init__(
         self,
@@ -40,7 +40,7 @@
         peers: PeerSocket,
         streams: PeerStreams,
     ) -> None:
-        """Share the parts of a started node."""
+        """Initialize the context from the parts of a started node."""
         self.process = process
         self.settings = settings
         self.view = view
@@ -49,7 +49,7 @@
         self.router = Router(view)
         self.admission: UpstreamAdmission | None = None
         self.owned_flows: OwnedFlows = tuple
-        self._was_out = False
+        self._was_out_of_service = False
         self.service: Service | None = None
         self.host: Host | None = None
         view.subscribe(self._refresh)
@@ -61,12 +61,12 @@
 
     @property
     def now(self) -> float:
-        """The process's clock in seconds."""
+        """The time of the process's clock in seconds."""
         return self.process.timers.now
 
     @property
     def is_out(self) -> bool:
-        """Whether this data centre is out of service."""
+        """Return whether this data centre is out of service."""
         site = self.view.site
         if site is None or self.host is None:
             return True
@@ -74,15 +74,16 @@
 
     @property
     def takes_work(self) -> bool:
-        """Whether this upstream may get new work."""
+        """Return whether this upstream may get new work."""
         return self.refusal is None
 
     @property
     def refusal(self) -> Refusal | None:
-        """Why this upstream may get no new work, if so.
+        """The reason why this upstream may get no new work, if any.
 
-        A process that was paused may hold an old view, in which its data
-        centre is still in service; it takes nothing before it has asked.
+        A process that was suspended may hold an old view, in which its data
+        centre is still in service; it accepts no work until the view has been
+        refreshed.
         """
         site = self.view.site
         if site is None or self.host is None:
@@ -106,7 +107,7 @@
             self.admission = make_admission(
                 self.service,
                 self.process.timers.clock,
-                self._note,
+                self._record_verdict,
                 lambda: self.owned_flows(),
             )
             self.process.timers.every(
@@ -114,13 +115,13 @@
                 self.admission.places.sweep,
             )
         self.admission.limits.follow(self.service)
-        # A data centre that returns counts as cold.
-        if self._was_out and not self.is_out:
+        # The upstream counts as cold when its data centre returns to service.
+        if self._was_out_of_service and not self.is_out:
             self.admission.judge.note_cold()
             self.admission.turn_cold()
-        self._was_out = self.is_out
+        self._was_out_of_service = self.is_out
 
-    def _note(self, verdict: Verdict) -> None:
+    def _record_verdict(self, verdict: Verdict) -> None:
         self.process.metrics.count(verdict)
         if verdict is not Verdict.trouble:
-            self.process.log.write(_EVENTS[verdict])
+            self.process.log.write(_EVENT_BY_VERDICT[verdict])
--- a/siskinbank/sidecar/daemon.py
+++ b/siskinbank/sidecar/daemon.py
@@ -1,4 +1,4 @@
-"""Start a sidecar beside its upstream."""
+"""Start the sidecar process of an upstream."""
 
 import asyncio
 
@@ -10,7 +10,7 @@
 from siskinbank.sidecar.packets import PacketHandler
 from siskinbank.sidecar.requests import RequestServer
 from siskinbank.sidecar.streams import start_streams
-from siskinbank.sidecar.watch import start_watch
+from siskinbank.sidecar.watch import start_health_checks
 
 __all__ = ('start_sidecar',)
 
@@ -33,7 +33,7 @@
         PeerStreams(process, settings.keys),
     )
     PacketHandler(context, await _open_upstream(settings))
-    start_watch(context)
+    start_health_checks(context)
     await start_streams(context, RequestServer(context))
 
 
--- a/siskinbank/sidecar/deflection.py
+++ b/siskinbank/sidecar/deflection.py
@@ -1,4 +1,4 @@
-"""Which sidecar takes a first packet: this one, or a less loaded one."""
+"""Decide whether to admit a first packet or forward it to another host."""
 
 import random
 
@@ -6,64 +6,66 @@
 from siskinbank.admission.upstream import UpstreamAdmission
 from siskinbank.wire.envelopes import URGENT, Envelope
 
-__all__ = ('bears', 'next_candidates')
+__all__ = ('choose_candidates', 'try_admit')
 
-#: Hosts with room that are asked after the entry's candidates; the first ones
-#: still refuse above their fair load.
-_ASKED = 4
-_BALANCED = 2
-#: The hop from which a host with room takes a first packet at any load.
-_LAST_HOP = 9
-#: Below this share of its full limit a host is quiet and passes nothing on.
-_QUIET_SHARE = 0.02
-#: The hop from which an urgent packet gets no further hosts to ask.
+#: Hosts with room that are asked after the entry's candidates; the first
+#: ``_FAIR_FALLBACK_HOSTS`` of them still refuse above their fair load.
+_FALLBACK_HOSTS = 4
+_FAIR_FALLBACK_HOSTS = 2
+#: The hop from which a host with room admits a first packet at any load.
+_ADMIT_HOP = 9
+#: Below this share of its full connection limit a host counts as idle and
+#: forwards nothing.
+_IDLE_SHARE = 0.02
+#: The hop from which an urgent packet gets no further candidates.
 _LAST_PLAN_HOP = 10
 
 
-def bears(
+def try_admit(
     envelope: Envelope,
     admission: UpstreamAdmission,
     loads: PoolLoads,
     weight: float,
 ) -> bool:
-    """Take a place for a first packet if it fits here.
+    """Reserve a connection for a first packet; return whether it succeeded.
 
-    Above its fair load a host takes only what the candidates could not.
+    Above its fair load a host admits only packets that the other candidates
+    could not.
     """
-    if not _is_last_chance(envelope):
+    if not _is_last_attempt(envelope):
         load = admission.load
-        quiet = admission.limits.connections.full * _QUIET_SHARE
-        if load >= max(quiet, loads.fair_load(load, weight)):
+        idle_load = admission.limits.connections.full * _IDLE_SHARE
+        if load >= max(idle_load, loads.fair_load(load, weight)):
             return False
     return admission.limits.connections.take()
 
 
-def _is_last_chance(envelope: Envelope) -> bool:
-    if envelope.hops >= _LAST_HOP:
+def _is_last_attempt(envelope: Envelope) -> bool:
+    if envelope.hops >= _ADMIT_HOP:
         return True
     left = len(envelope.candidates) - envelope.position
-    asked_last = left <= _ASKED - _BALANCED
-    return bool(envelope.flags & URGENT) and asked_last
+    is_fallback = left <= _FALLBACK_HOSTS - _FAIR_FALLBACK_HOSTS
+    return bool(envelope.flags & URGENT) and is_fallback
 
 
-def next_candidates(
+def choose_candidates(
     envelope: Envelope,
     own: bytes | None,
     loads: PoolLoads,
     rng: random.Random,
 ) -> None:
-    """Change a first packet's candidates to the hosts to ask next.
+    """Replace a first packet's candidates by the hosts to ask next.
 
-    Of the candidates that are left, the least loaded one is asked. Then the
-    packet is urgent: hosts of the whole pool that have room are
-    asked, less loaded ones first, and at the end this one. A pool that is
-    known to be full is not asked.
+    The least loaded of the remaining candidates is asked first. After that the
+    packet is urgent: hosts of the whole pool that have room are asked, less
+    loaded ones first, and this host last. A pool that is known to be full is
+    not asked.
 
     Args:
         envelope: the first packet.
         own: this sidecar's address, or None if it has no room.
-        loads: what is known of the pool.
-        rng: draws hosts.
+        loads: the known loads of the pool.
+        rng: source of randomness for the selection of hosts.
     """
     position = envelope.position + 1
     left = loads.among(envelope.candidates[position:])
@@ -75,18 +77,18 @@
         envelope.candidates = (envelope.candidates[0], second)
         return
     envelope.flags |= URGENT
-    envelope.candidates = _last_resort(own, loads, rng)
+    envelope.candidates = _fallback_hosts(own, loads, rng)
     envelope.position = -1
 
 
-def _last_resort(
+def _fallback_hosts(
     own: bytes | None,
     loads: PoolLoads,
     rng: random.Random,
 ) -> tuple[bytes, ...]:
-    asked = loads.with_room(rng, _ASKED)
-    for address in asked[:_BALANCED]:
+    asked = loads.with_room(rng, _FALLBACK_HOSTS)
+    for address in asked[:_FAIR_FALLBACK_HOSTS]:
         loads.expect(address)
     if own is not None:
-        asked = [*asked[: _ASKED - 1], own]
+        asked = [*asked[: _FALLBACK_HOSTS - 1], own]
     return tuple(asked)
--- a/siskinbank/sidecar/exchange.py
+++ b/siskinbank/sidecar/exchange.py
@@ -1,4 +1,4 @@
-"""Tell some sidecars of the pool how loaded the pool's hosts are."""
+"""Exchange the loads of a pool's hosts between its sidecars."""
 
 import random
 from collections.abc import Iterator
@@ -13,51 +13,58 @@
 
 _INTERVAL_SECONDS = 0.5
 _JITTER = 0.2
-#: Peers that each sidecar tells in each round, whatever the pool's size.
-_PEERS = 3
-#: Hosts in one message, the sender included.
-_RECORDS = 24
-_AGES_A_SECOND = 10
+#: Peers to which each sidecar reports in each round, at any pool size.
+_PEERS_A_ROUND = 3
+#: Maximum number of hosts in one message, including the sender.
+_MAX_RECORDS = 24
+_AGE_UNITS_A_SECOND = 10
 
 
 class LoadExchange:
     """Spreads loads through the pool by gossip with a fixed cost.
 
-    Each message carries the sender's own load and a sample of what it heard
-    from others, with its age.
+    Each message carries the sender's own load and a sample of the loads that
+    it received from other hosts, with their ages.
     """
 
     def __init__(self, context: SidecarContext, rng: random.Random) -> None:
-        """Exchange from now on; ``rng`` draws peers and samples."""
+        """Start the periodic exchange.
+
+        Args:
+            context: the sidecar's shared parts.
+            rng: selects the peers and the sample of loads.
+        """
         self._context = context
         self._rng = rng
         self.loads = PoolLoads(lambda: context.process.timers.now)
         context.view.subscribe(self._refresh)
-        context.process.timers.every(_INTERVAL_SECONDS, self.tell, _JITTER)
+        context.process.timers.every(
+            _INTERVAL_SECONDS, self.send_reports, _JITTER
+        )
 
-    def tell(self) -> None:
-        """Send one round of reports."""
+    def send_reports(self) -> None:
+        """Send one round of load reports."""
         service = self._context.service
         host = self._context.host
         if service is None or host is None or not self._context.takes_work:
             return
         peers = self.loads.hosts
         sent = self._report(service, host)
-        for peer in self._rng.sample(peers, min(_PEERS, len(peers))):
+        for peer in self._rng.sample(peers, min(_PEERS_A_ROUND, len(peers))):
             self._context.peers.send_message(sent, peer.address)
         self.loads.refresh()
 
     def learn(self, received: PoolLoad) -> None:
-        """Note what another sidecar told; refuse what is malformed."""
+        """Store the loads of a report; count and drop an invalid one."""
         service = self._context.service
         if service is None or received.service != service.ident:
             self._context.process.metrics.count(Drop.other_pool)
             return
-        if not _is_sound(received):
+        if not _is_valid(received):
             self._context.process.metrics.count(Drop.malformed)
             return
         for seed, load, room, age in _records(received):
-            self.loads.note(seed, load, room, age / _AGES_A_SECOND)
+            self.loads.note(seed, load, room, age / _AGE_UNITS_A_SECOND)
         self.loads.refresh()
 
     def _report(self, service: Service, own: Host) -> PoolLoad:
@@ -65,15 +72,15 @@
         admission = self._context.admission
         assert admission is not None
         known = self.loads.fresh()
-        if len(known) >= _RECORDS:
-            known = self._rng.sample(known, _RECORDS - 1)
+        if len(known) >= _MAX_RECORDS:
+            known = self._rng.sample(known, _MAX_RECORDS - 1)
         room = admission.limits.connections.room
         return PoolLoad(
             service.ident,
             [own.seed, *(host.seed for host, _ in known)],
             [admission.load, *(load.load for _, load in known)],
             [room, *(load.room for _, load in known)],
-            [0, *(_age(now - load.at) for _, load in known)],
+            [0, *(_age_units(now - load.at) for _, load in known)],
         )
 
     def _refresh(self) -> None:
@@ -91,8 +98,8 @@
         )
 
 
-def _age(seconds: float) -> int:
-    return round(seconds * _AGES_A_SECOND)
+def _age_units(seconds: float) -> int:
+    return round(seconds * _AGE_UNITS_A_SECOND)
 
 
 def _records(received: PoolLoad) -> Iterator[tuple[int, int, int, int]]:
@@ -111,10 +118,10 @@
     )
 
 
-def _is_sound(received: PoolLoad) -> bool:
+def _is_valid(received: PoolLoad) -> bool:
     columns = (received.hosts, received.loads, received.rooms, received.ages)
     if any(len(column) != len(received.hosts) for column in columns):
         return False
-    return len(received.hosts) <= _RECORDS and all(
+    return len(received.hosts) <= _MAX_RECORDS and all(
         _is_count(number) for column in columns for number in column
     )
--- a/siskinbank/sidecar/fencing.py
+++ b/siskinbank/sidecar/fencing.py
@@ -1,4 +1,4 @@
-"""Ask the former homes of a key to fence it."""
+"""Ask the former primary hosts of a key to fence it."""
 
 import asyncio
 
@@ -8,29 +8,29 @@
 from siskinbank.peers.connect import PeerStreams
 from siskinbank.wire.request_messages import FenceKey, KeyFenced, RequestHead
 
-__all__ = ('Fencing',)
+__all__ = ('KeyFencer',)
 
-_ASK_SECONDS = 1.0
+_FENCE_TIMEOUT_SECONDS = 1.0
 
 
-class Fencing:
-    """Asks other sidecars over request links, as an entry does."""
+class KeyFencer:
+    """Sends fence requests to other sidecars over request links."""
 
     def __init__(self, process: ProcessContext, streams: PeerStreams) -> None:
-        """Keep links as tasks of ``process``."""
+        """Initialize the fencer; its links run as tasks of ``process``."""
         self._links = RequestLinks(process, streams)
 
-    async def ask(self, homes: list[Host], head: RequestHead) -> bool:
-        """Whether all former homes fenced the key of a request."""
+    async def fence_at(self, primaries: list[Host], head: RequestHead) -> bool:
+        """Return whether all former primary hosts fenced a request's key."""
         answers = await asyncio.gather(
-            *(self._ask(home, head) for home in homes),
+            *(self._fence(primary, head) for primary in primaries),
         )
         return all(answers)
 
-    async def _ask(self, home: Host, head: RequestHead) -> bool:
+    async def _fence(self, primary: Host, head: RequestHead) -> bool:
         try:
-            async with asyncio.timeout(_ASK_SECONDS):
-                link = await self._links.get(home.address)
+            async with asyncio.timeout(_FENCE_TIMEOUT_SECONDS):
+                link = await self._links.get(primary.address)
                 exchange = link.open()
                 try:
                     exchange.post(
--- a/siskinbank/sidecar/flows.py
+++ b/siskinbank/sidecar/flows.py
@@ -1,9 +1,9 @@
-"""The flows that an upstream owns, and where moved flows live."""
+"""Tables of the flows that an upstream owns and of pointers to others."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-__all__ = ('FlowTable', 'OwnedFlow', 'Pointer', 'Pointers')
+__all__ = ('FlowTable', 'OwnedFlow', 'Pointer', 'PointerTable')
 
 _OPEN_IDLE_SECONDS = 900
 _CLOSING_IDLE_SECONDS = 30
@@ -15,36 +15,40 @@
 class OwnedFlow:
     """One flow of this upstream.
 
-    ``idle`` is the longest silence in seconds before it is forgotten;
-    ``charged`` says whether it counts against the connection limit.
+    Attributes:
+        opened: when the flow was added, in seconds of the clock.
+        last_seen: when its last packet was received.
+        idle: the idle timeout in seconds.
+        charged: whether it counts against the connection limit.
+        closing: whether the caller has sent all its data.
     """
 
     opened: float
-    seen: float
+    last_seen: float
     idle: float = _OPEN_IDLE_SECONDS
     charged: bool = True
     closing: bool = False
 
     def close(self) -> None:
-        """Note that the caller has sent all it will send.
+        """Mark the flow as closing, after the caller's FIN or RST.
 
-        This ends nothing yet: a forged reset, which the upstream ignores,
-        must not cut the flow.
+        The flow is not removed yet: a forged reset, which the upstream
+        ignores, must not end it.
         """
         self.closing = True
         self.idle = _CLOSING_IDLE_SECONDS
 
     def reopen(self) -> None:
-        """Note that the caller has opened a connection of the same name."""
+        """Mark the flow as open, after a new connection with the same ports."""
         self.closing = False
         self.idle = _OPEN_IDLE_SECONDS
 
 
 class FlowTable:
-    """Flows of one upstream by their 13 bytes."""
+    """The flows of one upstream by their 13-byte flow keys."""
 
     def __init__(self) -> None:
-        """Start empty."""
+        """Create an empty table."""
         self._flows: dict[bytes, OwnedFlow] = {}
 
     def __len__(self) -> int:
@@ -56,55 +60,65 @@
         return flow in self._flows
 
     def __iter__(self) -> Iterator[bytes]:
-        """Go through the flows."""
+        """Return an iterator over the flows."""
         return iter(self._flows)
 
     def get(self, flow: bytes) -> OwnedFlow | None:
-        """Return an owned flow."""
+        """Return an owned flow, or None if it is not owned."""
         return self._flows.get(flow)
 
     def add(self, flow: bytes, now: float) -> OwnedFlow:
-        """Own a flow from now on."""
+        """Add a new flow and return it."""
         owned = OwnedFlow(now, now)
         self._flows[flow] = owned
         return owned
 
     def adopt(self, flow: bytes, now: float, *, charged: bool) -> None:
-        """Own a flow of an earlier life, until it proves to be alive."""
+        """Add a flow of an earlier incarnation, with a short idle timeout.
+
+        The timeout of open flows applies once its caller sends more.
+        """
         owned = OwnedFlow(now, now, _ADOPTED_IDLE_SECONDS, charged)
         self._flows[flow] = owned
 
     def remove(self, flow: bytes) -> OwnedFlow | None:
-        """Forget a flow; return it if it was owned."""
+        """Remove a flow; return it if it was owned."""
         return self._flows.pop(flow, None)
 
     def clear(self) -> list[OwnedFlow]:
-        """Give up all flows; return them."""
-        gone = list(self._flows.values())
+        """Remove all flows and return them."""
+        removed = list(self._flows.values())
         self._flows.clear()
-        return gone
+        return removed
 
     def expire(self, now: float) -> list[OwnedFlow]:
-        """Forget flows that were silent too long; return them."""
+        """Remove flows whose idle timeout has passed; return them."""
         silent = [
             flow
             for flow, owned in self._flows.items()
-            if now - owned.seen > _longest_silence(owned)
+            if now - owned.last_seen > _idle_timeout(owned)
         ]
         return [self._flows.pop(flow) for flow in silent]
 
 
-def _longest_silence(owned: OwnedFlow) -> float:
-    """Return its ``idle``; an adopted flow's grows once its caller goes on."""
+def _idle_timeout(owned: OwnedFlow) -> float:
+    """Return the idle timeout; raise that of an adopted flow still in use."""
     if owned.idle == _ADOPTED_IDLE_SECONDS:
-        if owned.seen - owned.opened > _CONFIRM_SECONDS:
+        if owned.last_seen - owned.opened > _CONFIRM_SECONDS:
             owned.idle = _OPEN_IDLE_SECONDS
     return owned.idle
 
 
 @dataclass(frozen=True, slots=True)
 class Pointer:
-    """A lease on where a flow lives; ``expires`` in seconds of the clock."""
+    """A leased pointer to the owner of a flow.
+
+    Attributes:
+        address: the owner's packed address.
+        incarnation: the owner's incarnation, 0 if ownership is not certain.
+        generation: the configuration generation of the sender.
+        expires: when the lease ends, in seconds of the clock.
+    """
 
     address: bytes
     incarnation: int
@@ -112,11 +126,11 @@
     expires: float
 
 
-class Pointers:
-    """Leases on where flows live that other hosts own, by flow number."""
+class PointerTable:
+    """Pointers to flows that other hosts own, by flow number."""
 
     def __init__(self, size: int) -> None:
-        """Keep at most ``size`` pointers; the oldest ones go first."""
+        """Create a table of at most ``size`` pointers, evicting the oldest."""
         self._size = size
         self._pointers: dict[int, Pointer] = {}
 
@@ -125,25 +139,25 @@
         return len(self._pointers)
 
     def put(self, number: int, pointer: Pointer) -> None:
-        """Remember where a flow lives."""
+        """Store the pointer to a flow's owner."""
         self._pointers.pop(number, None)
         self._pointers[number] = pointer
         if len(self._pointers) > self._size:
             del self._pointers[next(iter(self._pointers))]
 
     def get(self, number: int, now: float) -> Pointer | None:
-        """Return the pointer of a flow while its lease runs."""
+        """Return the pointer of a flow, or None if it is unknown or expired."""
         known = self._pointers.get(number)
         if known is None or known.expires < now:
             return None
         return known
 
     def forget(self, number: int) -> None:
-        """Forget a flow."""
+        """Remove the pointer of a flow."""
         self._pointers.pop(number, None)
 
     def extend(self, address: bytes, incarnation: int, expires: float) -> None:
-        """Keep what points to earlier lives of a host that has restarted."""
+        """Extend the leases on earlier incarnations of a restarted host."""
         for number, pointer in self._pointers.items():
             if pointer.address == address and (
                 pointer.incarnation != incarnation
@@ -156,11 +170,11 @@
                 )
 
     def expire(self, now: float) -> None:
-        """Forget the leases that have run out."""
-        gone = [
+        """Remove the pointers whose lease has expired."""
+        removed = [
             number
             for number, pointer in self._pointers.items()
             if pointer.expires < now
         ]
-        for number in gone:
+        for number in removed:
             del self._pointers[number]
--- a/siskinbank/sidecar/forwarder.py
+++ b/siskinbank/sidecar/forwarder.py
@@ -1,4 +1,4 @@
-"""Send envelopes on to other sidecars, within the hop limit."""
+"""Forward envelopes to other sidecars, within the hop limit."""
 
 from collections.abc import Iterable
 
@@ -27,18 +27,18 @@
 
 
 class Forwarder:
-    """Passes packets on for one sidecar, and tells entries who owns them."""
+    """Forwards packets of one sidecar, and tells entries who owns a flow."""
 
     def __init__(self, context: SidecarContext, incarnation: int) -> None:
-        """Send for the sidecar of ``context``."""
+        """Initialize the forwarder of the sidecar of ``context``."""
         self._context = context
         self._router = context.router
         self._metrics = context.process.metrics
         self._incarnation = incarnation
-        self.own = pack_address(context.settings.bind)
+        self.own_address = pack_address(context.settings.bind)
 
     def send(self, envelope: Envelope, receiver: bytes) -> None:
-        """Send an envelope on, unless it went too far already."""
+        """Forward an envelope, unless it has reached the hop limit."""
         envelope.hops += 1
         if envelope.hops > MAX_HOPS:
             self._metrics.count(Drop.hop_limit)
@@ -47,11 +47,14 @@
         self._context.peers.send_envelope(envelope, unpack_address(receiver))
 
     def send_to_next(self, envelope: Envelope) -> bytes | None:
-        """Send an envelope to its next candidate; return who that is."""
+        """Forward an envelope to its next candidate; return its address.
+
+        Returns None if no candidate is left.
+        """
         candidates = envelope.candidates
         for position in range(envelope.position + 1, len(candidates)):
             receiver = candidates[position]
-            if receiver != self.own and self._router.allows(
+            if receiver != self.own_address and self._router.allows(
                 receiver,
                 envelope.generation,
             ):
@@ -66,21 +69,24 @@
         flags: int,
         others: list[bytes],
     ) -> None:
-        """Send an envelope round ``others`` and back to this host."""
+        """Send an envelope through ``others`` in turn and back to this host."""
         envelope.flags = flags
         envelope.incarnation = 0
         room = min(MAX_HOPS - 1 - envelope.hops, MAX_CANDIDATES - 2)
-        envelope.candidates = (*others[: max(room, 1)], self.own)
+        envelope.candidates = (*others[: max(room, 1)], self.own_address)
         envelope.position = 0
         self.send(envelope, others[0])
 
-    def follow(self, envelope: Envelope, pointer: Pointer) -> bool:
-        """Send an envelope where a pointer says; return whether it may go."""
-        going_round = envelope.flags & (ORPHAN | PROBE)
-        if going_round and pointer.address in envelope.candidates:
-            # One who asks for a flow of its own earlier life is told so.
-            asker = envelope.candidates[-1] == pointer.address
-            if envelope.flags & ORPHAN or not (asker and pointer.incarnation):
+    def follow_pointer(self, envelope: Envelope, pointer: Pointer) -> bool:
+        """Forward an envelope to a pointer's host; return whether it may go."""
+        searching = envelope.flags & (ORPHAN | PROBE)
+        if searching and pointer.address in envelope.candidates:
+            # A host that probes for a flow of its own earlier incarnation gets
+            # the packet back under that incarnation.
+            searcher = envelope.candidates[-1] == pointer.address
+            if envelope.flags & ORPHAN or not (
+                searcher and pointer.incarnation
+            ):
                 return False
         if not self._router.allows(pointer.address, pointer.generation):
             return False
@@ -91,43 +97,43 @@
         self.send(envelope, pointer.address)
         return True
 
-    def restart(self, envelope: Envelope) -> None:
-        """Forget who was named as the owner, as that was wrong."""
+    def reset_owner(self, envelope: Envelope) -> None:
+        """Reset an envelope whose named owner was wrong."""
         envelope.flags = UNCACHED
         envelope.incarnation = 0
-        envelope.candidates = (self.own,)
+        envelope.candidates = (self.own_address,)
         envelope.position = 0
 
     def extend(self, envelope: Envelope, hosts: Iterable[Host]) -> None:
-        """Append the candidates that only this host knows of."""
-        known = dict.fromkeys((*envelope.candidates, self.own))
+        """Append the ``hosts`` that are not yet candidates."""
+        known = dict.fromkeys((*envelope.candidates, self.own_address))
         known.update(dict.fromkeys(self.addresses(hosts)))
         added = tuple(known)[len(envelope.candidates) :]
         envelope.candidates = (*envelope.candidates, *added)[:MAX_CANDIDATES]
 
     def addresses(self, hosts: Iterable[Host]) -> list[bytes]:
-        """Return the packed addresses of other hosts that may be asked."""
+        """Return the packed addresses of other hosts that the router allows."""
         packed = dict.fromkeys(pack_address(host.address) for host in hosts)
         return [
             address
             for address in packed
-            if address != self.own and self._router.allows(address)
+            if address != self.own_address and self._router.allows(address)
         ]
 
-    def is_last(self, envelope: Envelope) -> bool:
-        """Whether an envelope went round and has come back."""
+    def has_returned(self, envelope: Envelope) -> bool:
+        """Return whether an envelope is back after visiting all candidates."""
         return (
             envelope.position == len(envelope.candidates) - 1
-            and envelope.candidates[-1] == self.own
+            and envelope.candidates[-1] == self.own_address
         )
 
-    def tell_entry(self, envelope: Envelope, packet: InnerPacket) -> None:
-        """Tell the entry that this host owns the packet's flow."""
-        told = Owner(
+    def notify_entry(self, envelope: Envelope, packet: InnerPacket) -> None:
+        """Notify the entry that this host owns the packet's flow."""
+        owner = Owner(
             packet.flow,
-            self.own,
+            self.own_address,
             self._incarnation,
             self._context.view.generation,
         )
         receiver = unpack_address(envelope.entry)
-        self._context.peers.send_message(told, receiver)
+        self._context.peers.send_message(owner, receiver)
--- a/siskinbank/sidecar/held_flows.py
+++ b/siskinbank/sidecar/held_flows.py
@@ -1,7 +1,7 @@
 """The flows of a sidecar's host, and the requests in them.
 
-A sidecar sees every packet of its host in both directions, so it knows what
-the host works on without asking.
+A sidecar sees every packet of its host in both directions, so it can track the
+requests in progress without asking the host.
 """
 
 from __future__ import annotations
@@ -21,43 +21,43 @@
 
 __all__ = ('HeldFlow', 'Request', 'Waiting')
 
-_NONE = -1
+_NO_SEQUENCE = -1
 
 
 class Request:
     """A request in progress.
 
     Attributes:
-        began: when its first packet came.
-        name: the id that its client gave it, for the logs.
-        waited: whether all slots of the host were in use.
+        began: when its first packet was received.
+        name: the request id from the client, for the logs.
+        waited: whether it was queued because all slots were in use.
     """
 
     __slots__ = ('began', 'name', 'waited')
 
     def __init__(self, began: float, name: str) -> None:
-        """Note its begin."""
+        """Initialize a request that starts at ``began``."""
         self.began = began
         self.name = name
         self.waited = False
 
 
 class HeldFlow:
-    """A flow that the host holds.
+    """A flow that the host has accepted.
 
     Attributes:
         entry: address of the entry that its packets come from.
-        client: where the client takes packets.
-        number: the host's first sequence number, 0 if unknown.
-        established: the host has worked on it.
+        client: address to which packets for the client are sent.
+        number: the host's initial sequence number, 0 if unknown.
+        established: whether the host has sent more than its SYN.
         seen: time of the last packet.
-        head: head of the client's last packet.
+        head: first ``HEAD_BYTES`` bytes of the client's last packet.
         request: the request in progress.
-        ended: when the flow was seen to end, 0 while it is open.
+        ended: when the end of the flow was detected, 0 while it is open.
     """
 
     __slots__ = (
-        '_newest',
+        '_last_request',
         'client',
         'ended',
         'entry',
@@ -69,7 +69,7 @@
     )
 
     def __init__(self, entry: str, client: tuple[str, int], now: float) -> None:
-        """Begin with a flow that the host has answered."""
+        """Initialize a flow that the host has answered."""
         self.entry = entry
         self.client = client
         self.number = 0
@@ -78,38 +78,38 @@
         self.head = b''
         self.request: Request | None = None
         self.ended: float = 0
-        self._newest = _NONE
+        self._last_request = _NO_SEQUENCE
 
     def take_packet(self, packet: bytes, now: float) -> Request | None:
-        """Follow a client's packet; return the request that it begins."""
+        """Track a client's packet; return the request it starts, if any."""
         self.seen = now
         self.head = packet[:HEAD_BYTES]
         if not begins_request(packet):
             return None
         number = sequence_numbers(packet)[0]
-        if number == self._newest:
-            # Sent again.
+        if number == self._last_request:
+            # A retransmission.
             return None
-        self._newest = number
+        self._last_request = number
         self.request = Request(now, request_id(packet))
         return self.request
 
     def take_answer(self, packet: bytes, now: float) -> Answer | None:
-        """Follow a host's packet; return the answer that it begins."""
+        """Track a host's packet; return the answer it starts, if any."""
         self.seen = now
         return read_answer(packet) if self.request else None
 
 
 class Waiting:
-    """A packet at the host whose flow the host may not take or hold.
+    """A packet sent to the host, whose flow the host may refuse or not know.
 
     Attributes:
-        entry: the entry that wants to know.
-        seen: when the packet went to the host.
-        searching: other hosts are asked at the same time.
-        relayed: the entry keeps the packet and wants no copy of it back.
+        entry: the entry that waits for the result.
+        seen: when the packet was sent to the host.
+        searching: whether other hosts are asked at the same time.
+        relayed: whether the entry has queued the packet and needs no copy.
         packet: the packet.
-        opening: what came with a first packet.
+        opening: the message that carried a first packet.
     """
 
     __slots__ = (
@@ -122,7 +122,7 @@
     )
 
     def __init__(self, entry: str, seen: float, packet: bytes) -> None:
-        """Note who asked, and when."""
+        """Initialize a pending packet that ``entry`` sent at ``seen``."""
         self.entry = entry
         self.seen = seen
         self.packet = packet
--- a/siskinbank/sidecar/homes.py
+++ b/siskinbank/sidecar/homes.py
@@ -1,4 +1,4 @@
-"""Which keys this host may vouch for: it must long have been their home."""
+"""Track for how long this host has been the primary host of a key."""
 
 from siskinbank.choice.homes import home_hosts, home_rank
 from siskinbank.choice.registry import Rank
@@ -6,84 +6,88 @@
 from siskinbank.sidecar.context import SidecarContext
 from siskinbank.util import digest64
 
-__all__ = ('SETTLE_SECONDS', 'KeyHome')
+__all__ = ('SETTLE_SECONDS', 'PrimaryHostHistory')
 
-#: How long a host must have been the home of a key before it runs the key,
-#: and the longest after its first try that a key may be sent again.
+#: How long a host must have been the primary host of a key before it runs the
+#: key, and the longest time after its first try that a key may be sent again.
 SETTLE_SECONDS = 30.0
 
 
-class KeyHome:
-    """Remembers the homes that keys had in the last seconds.
+class PrimaryHostHistory:
+    """Tracks the primary hosts of keys over the last ``SETTLE_SECONDS``.
 
-    The home of a key is the host that ranks first for it. Another home may
-    have run the key, so a new home waits until nobody sends it again.
+    The primary host of a key is the host that ranks first for it. A former
+    primary host may have run the key, so a new one waits until no caller
+    sends the key again.
     """
 
     def __init__(self, context: SidecarContext) -> None:
-        """Follow the context's view."""
+        """Initialize the history and follow the context's view."""
         self._context = context
-        self._since = context.now
-        self._now: Rank = _nobody
+        self._started = context.now
+        self._current: Rank = _rank_nothing
         self._signature: tuple[object, ...] = ()
         self._generation = 0
         self._former: list[tuple[float, Rank]] = []
         context.view.subscribe(self._refresh)
 
-    def unsettled_for(self, key: str) -> float:
-        """Return the seconds until this host may vouch for a key.
+    def unresolved_seconds(self, key: str) -> float:
+        """Return the seconds until this host may run a key without asking.
 
-        0 means now. A host that is not the key's home gets the whole time.
+        The result is 0 if it may run the key now, and ``SETTLE_SECONDS`` if
+        it isn't the key's primary host.
         """
         digest = digest64(key)
-        if not self._is_own(self._now, digest):
+        if not self._is_primary(self._current, digest):
             return SETTLE_SECONDS
         now = self._context.now
-        self._forget(now)
-        waits = [
+        self._expire(now)
+        remaining = [
             until - now
             for until, rank in self._former
-            if not self._is_own(rank, digest)
+            if not self._is_primary(rank, digest)
         ]
-        return max(waits, default=0)
+        return max(remaining, default=0)
 
-    def former(self, key: str) -> list[Host] | None:
-        """Return the other hosts that were the home of a key lately.
+    def former_primaries(self, key: str) -> list[Host] | None:
+        """Return the other hosts that were recently the primary of a key.
 
-        None means that asking them would not settle it: this host is not the
-        home of the key, or it joined the pool so lately that it does not know
-        the former ones.
+        None means that asking them would not resolve the outcome: this host
+        is not the primary host of the key, or it joined the pool so recently
+        that it does not know the former ones.
         """
         digest = digest64(key)
         now = self._context.now
-        self._forget(now)
-        if self.is_young() or not self._is_own(self._now, digest):
+        self._expire(now)
+        if self.recently_started() or not self._is_primary(
+            self._current, digest
+        ):
             return None
-        homes = {}
+        primaries = {}
         for _until, rank in self._former:
             ranked = rank(digest)
             if not ranked:
                 return None
-            homes[ranked[0].name] = ranked[0]
-        homes.pop(self._context.process.name, None)
-        return list(homes.values())
+            primaries[ranked[0].name] = ranked[0]
+        primaries.pop(self._context.process.name, None)
+        return list(primaries.values())
 
-    def is_young(self) -> bool:
-        """Whether an earlier life of this host may have run recent keys."""
-        return self._context.now - self._since < SETTLE_SECONDS
+    def recently_started(self) -> bool:
+        """Return whether an earlier incarnation may have run recent keys."""
+        return self._context.now - self._started < SETTLE_SECONDS
 
-    def _is_own(self, rank: Rank, digest: int) -> bool:
+    def _is_primary(self, rank: Rank, digest: int) -> bool:
         ranked = rank(digest)
         return bool(ranked) and ranked[0].name == self._context.process.name
 
-    def _forget(self, now: float) -> None:
+    def _expire(self, now: float) -> None:
         self._former = [entry for entry in self._former if entry[0] > now]
 
     def _refresh(self) -> None:
         generation = self._context.view.generation
         if self._generation and generation > self._generation + 1:
-            # Pools in between were never seen, and so neither their homes.
-            self._remember(_nobody)
+            # The skipped generations may have had other primary hosts.
+            self._add_former(_rank_nothing)
         self._generation = generation
         service = self._context.service
         hosts: tuple[Host, ...] = ()
@@ -95,15 +99,15 @@
     def _replace(self, rank: Rank, signature: tuple[object, ...]) -> None:
         if signature == self._signature:
             return
-        self._remember(self._now)
-        self._now = rank
+        self._add_former(self._current)
+        self._current = rank
         self._signature = signature
 
-    def _remember(self, rank: Rank) -> None:
+    def _add_former(self, rank: Rank) -> None:
         now = self._context.now
-        self._forget(now)
+        self._expire(now)
         self._former.append((now + SETTLE_SECONDS, rank))
 
 
-def _nobody(_flow: int) -> list[Host]:
+def _rank_nothing(_flow: int) -> list[Host]:
     return []
--- a/siskinbank/sidecar/ledger.py
+++ b/siskinbank/sidecar/ledger.py
@@ -1,4 +1,4 @@
-"""The flows that a sidecar owns, and the places they hold at the upstream."""
+"""The flows that a sidecar owns, counted against the upstream's limits."""
 
 import socket
 from collections.abc import Iterable
@@ -9,30 +9,30 @@
 from siskinbank.sidecar.flows import FlowTable, OwnedFlow
 from siskinbank.wire.packets import read_ends
 
-__all__ = ('FlowLedger', 'service_ends')
+__all__ = ('FlowAccounting', 'service_ends')
 
 
-class FlowLedger:
-    """Keeps owned flows and the upstream's limits in step.
+class FlowAccounting:
+    """Keeps the upstream's connection count in step with the owned flows.
 
     A flow is *charged* while it counts against the connection limit.
     """
 
     def __init__(self, context: SidecarContext) -> None:
-        """Start without flows."""
+        """Initialize the accounting without flows."""
         self._context = context
         self._metrics = context.process.metrics
         self.flows = FlowTable()
-        context.owned_flows = self._charged
+        context.owned_flows = self._charged_flows
 
-    def has_place(
+    def may_deliver(
         self,
         flow: bytes,
         owned: OwnedFlow,
         *,
         closing: bool,
     ) -> bool:
-        """Whether the upstream bears a packet of an owned flow now."""
+        """Return whether a packet of an owned flow may be delivered now."""
         admission = self._context.admission
         if admission is None or not owned.charged:
             return True
@@ -41,46 +41,48 @@
         self._metrics.count(Drop.upstream_cold)
         return False
 
-    def give_up_all(self, reason: GivenUp) -> None:
-        """Give up all flows at once."""
-        self._give_up(self.flows.clear(), reason)
+    def abandon_all(self, reason: GivenUp) -> None:
+        """Abandon all flows."""
+        self._abandon(self.flows.clear(), reason)
 
-    def give_up_reassigned(self, service: Service) -> None:
-        """Give up the flows to addresses that the service has lost."""
+    def abandon_reassigned(self, service: Service) -> None:
+        """Abandon the flows to addresses that the service no longer has."""
         ends = service_ends(service)
-        gone = [flow for flow in self.flows if read_ends(flow) not in ends]
-        removed = [self.flows.remove(flow) for flow in gone]
-        self._give_up(
+        reassigned = [
+            flow for flow in self.flows if read_ends(flow) not in ends
+        ]
+        removed = [self.flows.remove(flow) for flow in reassigned]
+        self._abandon(
             [owned for owned in removed if owned is not None],
             GivenUp.reassigned,
         )
 
     def expire(self) -> None:
-        """Forget the flows that were silent for too long."""
-        gone = self.flows.expire(self._context.now)
-        open_ones = [owned for owned in gone if not owned.closing]
-        closed = [owned for owned in gone if owned.closing]
-        self._give_up(open_ones, GivenUp.idle)
-        self.give_back(closed)
-
-    def give_back(self, gone: Iterable[OwnedFlow]) -> None:
-        """Return the places of flows that are no longer owned."""
+        """Remove the flows whose idle timeout has passed."""
+        removed_flows = self.flows.expire(self._context.now)
+        still_open = [owned for owned in removed_flows if not owned.closing]
+        closed = [owned for owned in removed_flows if owned.closing]
+        self._abandon(still_open, GivenUp.idle)
+        self.release(closed)
+
+    def release(self, removed_flows: Iterable[OwnedFlow]) -> None:
+        """Release the connections of flows that are no longer owned."""
         admission = self._context.admission
         if admission is None:
             return
-        for owned in gone:
+        for owned in removed_flows:
             if owned.charged:
                 admission.limits.connections.give_back()
         admission.places.keep_only(self.flows)
 
-    def _charged(self) -> list[bytes]:
+    def _charged_flows(self) -> list[bytes]:
         owned = ((flow, self.flows.get(flow)) for flow in self.flows)
         return [flow for flow, known in owned if known and known.charged]
 
-    def _give_up(self, gone: list[OwnedFlow], reason: GivenUp) -> None:
-        if gone:
-            self._metrics.count(reason, len(gone))
-            self.give_back(gone)
+    def _abandon(self, removed_flows: list[OwnedFlow], reason: GivenUp) -> None:
+        if removed_flows:
+            self._metrics.count(reason, len(removed_flows))
+            self.release(removed_flows)
 
 
 def service_ends(service: Service) -> set[tuple[bytes, int]]:
--- a/siskinbank/sidecar/packets.py
+++ b/siskinbank/sidecar/packets.py
@@ -1,4 +1,4 @@
-"""Admit packets to the upstream, or pass them on to the flow's owner."""
+"""Deliver packets to the upstream, or forward them to the flow's owner."""
 
 import asyncio
 import random
@@ -9,13 +9,13 @@
 from siskinbank.kernel.suspension import SuspensionGuard
 from siskinbank.sidecar.announcer import Announcer, read_numbers
 from siskinbank.sidecar.context import SidecarContext
-from siskinbank.sidecar.deflection import bears, next_candidates
+from siskinbank.sidecar.deflection import choose_candidates, try_admit
 from siskinbank.sidecar.exchange import LoadExchange
 from siskinbank.sidecar.forwarder import Forwarder
-from siskinbank.sidecar.flows import OwnedFlow, Pointer, Pointers
-from siskinbank.sidecar.ledger import FlowLedger, service_ends
+from siskinbank.sidecar.flows import OwnedFlow, Pointer, PointerTable
+from siskinbank.sidecar.ledger import FlowAccounting, service_ends
 from siskinbank.sidecar.pool_history import PoolHistory
-from siskinbank.sidecar.probes import Probes
+from siskinbank.sidecar.probes import OwnerProbes
 from siskinbank.wire.loads import PoolLoad
 from siskinbank.wire.flow_messages import Moved, Started
 from siskinbank.wire.messages import Message
@@ -38,34 +38,40 @@
 
 _EXPIRE_SECONDS = 5
 _MAX_POINTERS = 100_000
-#: How long a flow that was passed on as new is sought where it went.
-_PASSED_SECONDS = 10
-#: The hop from which such a flow is not sought any more.
-_PASSED_HOPS = 3
-#: Within this time of a start the pool has refilled the pointers.
+#: How long later packets of a flow that was forwarded as new follow it.
+_FORWARDED_SECONDS = 10
+#: The hop from which packets no longer follow such a flow.
+_FORWARDED_HOPS = 3
+#: The time after a start until the pool has sent its pointers again.
 _REFILL_SECONDS = 2
-#: How long after a start an unknown flow may be one of an earlier life.
+#: How long after a start an unknown flow may be of an earlier incarnation.
 _RECOVERY_SECONDS = 900
-#: How long the pointers to a host are kept after it has restarted.
+#: The lease of the pointers to a host after it has restarted.
 _RESTART_LEASE_SECONDS = 900
 
 
 class PacketHandler:
-    """The packet side of one sidecar."""
+    """Handles the packets of one sidecar."""
 
     def __init__(
         self,
         context: SidecarContext,
         upstream: asyncio.DatagramTransport | None,
     ) -> None:
-        """Hand packets to the upstream over ``upstream``."""
+        """Initialize the handler and subscribe to packets and messages.
+
+        Args:
+            context: the sidecar's shared parts.
+            upstream: transport to the upstream, None if it has no address
+                for packets.
+        """
         self._context = context
         self._upstream = upstream
         self._metrics = context.process.metrics
         self._delivered = self._metrics.cell('packets_delivered')
         self._timers = context.process.timers
         self._clock = self._timers.clock
-        self._guard = SuspensionGuard(
+        self._suspension = SuspensionGuard(
             self._timers,
             lambda: context.view.list_age,
             lambda: context.view.fresh,
@@ -74,14 +80,14 @@
         self._started: float | None = None
         self._service = 0
         self.incarnation = make_incarnation(self._name)
-        self._ledger = FlowLedger(context)
-        self.flows = self._ledger.flows
-        self.pointers = Pointers(_MAX_POINTERS)
+        self._accounting = FlowAccounting(context)
+        self.flows = self._accounting.flows
+        self.pointers = PointerTable(_MAX_POINTERS)
         self._forwarder = Forwarder(context, self.incarnation)
-        self._own = self._forwarder.own
+        self._own_address = self._forwarder.own_address
         self._rng = random.Random(self._name)
         self.exchange = LoadExchange(context, self._rng)
-        self._probes = Probes()
+        self._probes = OwnerProbes()
         self._history = PoolHistory(self._clock)
         self._announcer = Announcer(
             context,
@@ -89,66 +95,66 @@
             self._history,
             self.incarnation,
         )
-        context.peers.take_body = self.take_owned
+        context.peers.take_body = self.receive_owned
         context.peers.on_envelope = self.receive
-        context.peers.on_message = self.learn
+        context.peers.on_message = self.receive_message
         context.view.subscribe(self._refresh)
-        self._timers.every(_EXPIRE_SECONDS, self._ledger.expire)
+        self._timers.every(_EXPIRE_SECONDS, self._accounting.expire)
         self._timers.every(_EXPIRE_SECONDS, self._expire_pointers)
 
     @property
     def age(self) -> float:
-        """Seconds since this process first knew its pool."""
+        """The seconds since this process first had a pool."""
         if self._started is None:
             return 0
         return self._timers.now - self._started
 
-    def take_owned(self, body: bytes) -> bool:
-        """Deliver a plain packet of an owned flow the short way.
+    def receive_owned(self, body: bytes) -> bool:
+        """Deliver a plain packet of an owned flow on the fast path.
 
         Returns:
-            False when the packet needs more than that.
+            False if the packet needs the full path.
         """
-        plain = read_owned(body, self._service)
-        if plain is None:
+        owned_packet = read_owned(body, self._service)
+        if owned_packet is None:
             return False
-        owned = self.flows.get(plain[0])
+        owned = self.flows.get(owned_packet[0])
         now = self._clock()
-        if owned is None or now > self._guard.until:
+        if owned is None or now > self._suspension.until:
             return False
-        owned.seen = now
-        if self._ledger.has_place(plain[0], owned, closing=False):
-            self._hand_over(plain[1])
+        owned.last_seen = now
+        if self._accounting.may_deliver(owned_packet[0], owned, closing=False):
+            self._deliver(owned_packet[1])
         return True
 
     def receive(self, envelope: Envelope, _sender: Address) -> None:
-        """Take a packet from an entry or another sidecar."""
+        """Handle a packet from an entry or another sidecar."""
         packet = parse_inner(envelope.raw)
         if packet is None:
             self._metrics.count(Drop.malformed)
             return
-        if not self._guard.awake:
+        if not self._suspension.awake:
             self._metrics.count(Drop.stale_view)
             return
-        if not _belongs(envelope, packet, self._context.service):
-            self._pass_on_ahead(envelope)
+        if not _is_for_service(envelope, packet, self._context.service):
+            self._forward_newer(envelope)
         elif self._context.is_out:
-            self._pass_on_out(envelope, packet)
+            self._forward_out(envelope, packet)
         elif not self._deliver_owned(envelope, packet):
             self._find_owner(envelope, packet)
 
-    def learn(self, received: Message, _sender: Address) -> None:
-        """Take word of flows that live elsewhere, and of restarts."""
+    def receive_message(self, received: Message, _sender: Address) -> None:
+        """Handle announcements of loads, of flows elsewhere and of restarts."""
         if isinstance(received, PoolLoad):
             self.exchange.learn(received)
         elif isinstance(received, Moved | Started):
-            self._learn_owners(received)
+            self._receive_ownership(received)
 
-    def _learn_owners(self, received: Moved | Started) -> None:
+    def _receive_ownership(self, received: Moved | Started) -> None:
         if received.service != self._service:
             self._metrics.count(Drop.wrong_service)
         elif isinstance(received, Moved):
-            self._learn_moved(received)
+            self._store_pointers(received)
         else:
             expires = self._timers.now + _RESTART_LEASE_SECONDS
             self.pointers.extend(
@@ -156,10 +162,10 @@
                 received.incarnation,
                 expires,
             )
-            self._announcer.answer(received.address)
+            self._announcer.announce_to(received.address)
 
-    def _learn_moved(self, received: Moved) -> None:
-        if received.address == self._own:
+    def _store_pointers(self, received: Moved) -> None:
+        if received.address == self._own_address:
             return
         pointer = Pointer(
             received.address,
@@ -177,20 +183,20 @@
             return False
         if packet.first and owned.closing and not self._context.takes_work:
             self.flows.remove(flow)
-            self._ledger.give_back((owned,))
+            self._accounting.release((owned,))
             return False
-        owned.seen = self._timers.now
-        _note_ends(owned, packet)
+        owned.last_seen = self._timers.now
+        _update_state(owned, packet)
         if packet.first and self._context.admission is not None:
             self._context.admission.places.reopen(flow)
-        if not self._ledger.has_place(flow, owned, closing=owned.closing):
+        if not self._accounting.may_deliver(flow, owned, closing=owned.closing):
             return True
-        self._hand_over(packet.raw)
+        self._deliver(packet.raw)
         if envelope.flags & UNCACHED and not packet.first:
-            self._forwarder.tell_entry(envelope, packet)
+            self._forwarder.notify_entry(envelope, packet)
         prober = _prober(envelope)
         if prober:
-            self._announcer.tell(prober, packet.flow)
+            self._announcer.send_pointer(prober, packet.flow)
         return True
 
     def _find_owner(self, envelope: Envelope, packet: InnerPacket) -> None:
@@ -198,16 +204,16 @@
         if self._follow_pointer(envelope, packet, number):
             return
         if envelope.flags & ORPHAN:
-            if self._forwarder.is_last(envelope):
+            if self._forwarder.has_returned(envelope):
                 self._adopt(envelope, packet)
             else:
-                self._pass_on(envelope, packet, number)
-        elif self._may_be_ours(envelope, packet):
+                self._forward(envelope, packet, number)
+        elif self._may_be_own(envelope, packet):
             self._search_then_adopt(envelope, packet, number)
         elif packet.may_open:
-            self._open(envelope, packet, number)
+            self._open_flow(envelope, packet, number)
         else:
-            self._pass_on(envelope, packet, number)
+            self._forward(envelope, packet, number)
 
     def _follow_pointer(
         self,
@@ -218,98 +224,109 @@
         pointer = self.pointers.get(number, self._timers.now)
         if pointer is None or not _may_follow(envelope, pointer):
             return False
-        # Where a copy was passed on says less than who remembers us.
-        if not pointer.incarnation and self._is_remembered(envelope):
+        # A sender that names this host as the owner is more reliable than the
+        # pointer to where an earlier copy was forwarded.
+        if not pointer.incarnation and self._is_named_owner(envelope):
             return False
         prober = _prober(envelope)
-        if not self._forwarder.follow(envelope, pointer):
+        if not self._forwarder.follow_pointer(envelope, pointer):
             return False
         if prober:
-            self._announcer.tell(prober, packet.flow, pointer)
+            self._announcer.send_pointer(prober, packet.flow, pointer)
         return True
 
-    def _open(
+    def _open_flow(
         self,
         envelope: Envelope,
         packet: InnerPacket,
         number: int,
     ) -> None:
-        """Take a flow that no pointer knows, unless another host owns it."""
-        if envelope.flags & PROBE and not self._forwarder.is_last(envelope):
-            if not self._wins_race(envelope, packet):
-                self._pass_on(envelope, packet, number)
+        """Admit a flow without a pointer, unless another host owns it."""
+        if envelope.flags & PROBE and not self._forwarder.has_returned(
+            envelope
+        ):
+            if not self._admit_in_race(envelope, packet):
+                self._forward(envelope, packet, number)
             return
         if envelope.flags & PROBE:
-            self._forwarder.restart(envelope)
+            self._forwarder.reset_owner(envelope)
             envelope.flags |= PROBED
         elif not envelope.flags & PROBED:
-            suspects = self._suspects(envelope, packet, number)
-            if suspects and self._probes.start(packet.flow, self._timers.now):
+            possible_owners = self._possible_owners(envelope, packet, number)
+            if possible_owners and self._probes.start(
+                packet.flow, self._timers.now
+            ):
                 flags = PROBE | UNCACHED
-                self._forwarder.send_to_all(envelope, flags, suspects)
+                self._forwarder.send_to_all(envelope, flags, possible_owners)
                 return
         if not self._admit(envelope, packet):
-            self._pass_on(envelope, packet, number)
+            self._forward(envelope, packet, number)
 
-    def _wins_race(self, envelope: Envelope, packet: InnerPacket) -> bool:
-        """Settle who takes a flow that two hosts were offered at once.
+    def _admit_in_race(self, envelope: Envelope, packet: InnerPacket) -> bool:
+        """Admit a flow that was offered to two hosts at once, if this one wins.
 
-        Both ask each other; the lower address takes it.
+        Both hosts probe each other; the one with the lower address admits it.
         """
         prober = envelope.candidates[-1]
-        if self._own > prober or not self._probes.is_open(
+        if self._own_address > prober or not self._probes.is_open(
             packet.flow,
             self._timers.now,
         ):
             return False
         return self._admit(envelope, packet)
 
-    def _suspects(
+    def _possible_owners(
         self,
         envelope: Envelope,
         packet: InnerPacket,
         number: int,
     ) -> list[bytes]:
-        hosts = self._history.suspects(number, self._name, first=packet.first)
+        hosts = self._history.possible_owners(
+            number, self._name, first=packet.first
+        )
         visited = envelope.candidates[: envelope.position]
-        suspects = self._forwarder.addresses(hosts)
-        return [address for address in suspects if address not in visited]
+        possible_owners = self._forwarder.addresses(hosts)
+        return [
+            address for address in possible_owners if address not in visited
+        ]
 
     def _admit(self, envelope: Envelope, packet: InnerPacket) -> bool:
         admission = self._context.admission
         host = self._context.host
         if admission is None or host is None or not self._context.takes_work:
             return False
-        if not bears(envelope, admission, self.exchange.loads, host.weight):
+        if not try_admit(envelope, admission, self.exchange.loads, host.weight):
             return False
         self.flows.add(packet.flow, self._timers.now)
         self._probes.end(packet.flow)
         self._metrics.tally('flows_opened')
-        self._hand_over(packet.raw)
-        # An entry waits for an answer to anything but a first TCP packet.
+        self._deliver(packet.raw)
+        # An entry expects to be notified unless it sent a first TCP packet
+        # straight to this host.
         if envelope.hops or not packet.first:
-            self._forwarder.tell_entry(envelope, packet)
+            self._forwarder.notify_entry(envelope, packet)
         self._announcer.announce_new(packet.flow)
         return True
 
-    def _is_remembered(self, envelope: Envelope) -> bool:
-        """Whether somebody remembers that this host owned the flow."""
+    def _is_named_owner(self, envelope: Envelope) -> bool:
+        """Return whether the sender names an incarnation of this host."""
         named = bool(envelope.flags & NAMED)
         return named and same_host(envelope.incarnation, self.incarnation)
 
-    def _may_be_ours(self, envelope: Envelope, packet: InnerPacket) -> bool:
-        """Whether an unknown flow may have been owned here earlier.
+    def _may_be_own(self, envelope: Envelope, packet: InnerPacket) -> bool:
+        """Return whether an earlier incarnation may have owned a flow.
 
-        That is so when somebody remembers it, or when this process started
-        lately and the entry offered the packet here first. A restart of the
-        sidecar alone leaves the upstream's connections whole.
+        That is so if the sender names this host as the owner, or if this
+        process started recently and the entry offered the packet here first.
+        A restart of the sidecar alone does not affect the upstream's
+        connections.
         """
         if packet.first:
             return False
         if envelope.flags & NAMED:
             if packet.may_open and envelope.incarnation == self.incarnation:
                 return False
-            return self._is_remembered(envelope)
+            return self._is_named_owner(envelope)
         recovering = _REFILL_SECONDS < self.age < _RECOVERY_SECONDS
         first = envelope.position == 0 and not packet.may_open
         return recovering and first
@@ -320,7 +337,7 @@
         packet: InnerPacket,
         number: int,
     ) -> None:
-        """Ask all others for a flow, and take it if it comes back."""
+        """Search all other hosts for a flow, and adopt it if none owns it."""
         others = self._forwarder.addresses(self._history.known(number))
         if others:
             flags = ORPHAN | UNCACHED
@@ -329,32 +346,32 @@
             self._adopt(envelope, packet)
 
     def _adopt(self, envelope: Envelope, packet: InnerPacket) -> None:
-        """Take over a flow that this host owned in an earlier life.
+        """Adopt a flow that an earlier incarnation of this host owned.
 
-        If the upstream has lost it too, it answers with a reset: the caller
-        learns at once.
+        If the upstream has lost it too, it answers with a reset, which ends
+        the caller's connection at once.
         """
         limits = self._context.limits
         charged = limits is not None and limits.connections.take()
         self.flows.adopt(packet.flow, self._timers.now, charged=charged)
         self._metrics.tally('flows_adopted')
-        self._hand_over(packet.raw)
-        self._forwarder.tell_entry(envelope, packet)
+        self._deliver(packet.raw)
+        self._forwarder.notify_entry(envelope, packet)
         self._announcer.announce_new(packet.flow)
 
-    def _pass_on(
+    def _forward(
         self,
         envelope: Envelope,
         packet: InnerPacket,
         number: int,
     ) -> None:
         if envelope.flags & NAMED:
-            self._forwarder.restart(envelope)
+            self._forwarder.reset_owner(envelope)
         opens = packet.may_open and not envelope.flags & (PROBE | ORPHAN)
         if opens:
-            # Who is asked next need not ask again who owns the flow.
+            # The next host need not probe for the owner again.
             envelope.flags |= PROBED
-            self._choose_next(envelope)
+            self._choose_candidates(envelope)
         receiver = self._forwarder.send_to_next(envelope)
         if receiver is None and not opens:
             history = self._history
@@ -364,7 +381,7 @@
         if receiver is None:
             self._end_search(envelope, packet, number, opens=opens)
         elif opens:
-            self._remember_passed(number, receiver)
+            self._add_forward_pointer(number, receiver)
 
     def _end_search(
         self,
@@ -374,47 +391,47 @@
         *,
         opens: bool,
     ) -> None:
-        """Drop a packet that nobody can take.
+        """Drop a packet that no host can accept.
 
-        If it came in a probe whose prober can't be asked any more, it is still
-        offered like that of any new flow.
+        If it came in a probe whose prober can no longer be reached, it is
+        offered to the pool like the packet of any new flow.
         """
         if opens:
             self._metrics.count(Drop.at_limit)
         elif not packet.may_open:
             self._metrics.count(Drop.unknown_flow)
         else:
-            self._forwarder.restart(envelope)
+            self._forwarder.reset_owner(envelope)
             envelope.flags |= PROBED
             if not self._admit(envelope, packet):
-                self._pass_on(envelope, packet, number)
+                self._forward(envelope, packet, number)
 
-    def _choose_next(self, envelope: Envelope) -> None:
+    def _choose_candidates(self, envelope: Envelope) -> None:
         limits = self._context.limits
         if limits is None:
             return
         has_room = self._context.takes_work and limits.connections.room
-        next_candidates(
+        choose_candidates(
             envelope,
-            self._own if has_room else None,
+            self._own_address if has_room else None,
             self.exchange.loads,
             self._rng,
         )
 
-    def _remember_passed(self, number: int, receiver: bytes) -> None:
-        """Send a copy of a new flow's packet the same way, for a while."""
+    def _add_forward_pointer(self, number: int, receiver: bytes) -> None:
+        """Store a short-lived pointer to which copies of the packet go."""
         self.pointers.put(
             number,
             Pointer(
                 receiver,
                 0,
                 self._context.view.generation,
-                self._timers.now + _PASSED_SECONDS,
+                self._timers.now + _FORWARDED_SECONDS,
             ),
         )
 
-    def _pass_on_ahead(self, envelope: Envelope) -> None:
-        """Pass on what a process with a newer generation sent too early.
+    def _forward_newer(self, envelope: Envelope) -> None:
+        """Forward a packet whose sender has a newer generation than this host.
 
         A packet of another service is dropped.
         """
@@ -422,18 +439,23 @@
         if not ahead or not self._forwarder.send_to_next(envelope):
             self._metrics.count(Drop.wrong_service)
 
-    def _pass_on_out(self, envelope: Envelope, packet: InnerPacket) -> None:
-        """Pass on what lives elsewhere; what lived here was given up."""
+    def _forward_out(self, envelope: Envelope, packet: InnerPacket) -> None:
+        """Forward a packet while this data centre is out of service.
+
+        The flows that this host owned have been abandoned.
+        """
         number = packet.key
         pointer = self.pointers.get(number, self._timers.now)
-        if pointer is not None and self._forwarder.follow(envelope, pointer):
+        if pointer is not None and self._forwarder.follow_pointer(
+            envelope, pointer
+        ):
             return
         if packet.first:
-            self._choose_next(envelope)
+            self._choose_candidates(envelope)
         if not self._forwarder.send_to_next(envelope):
             self._metrics.count(Drop.centre_out)
 
-    def _hand_over(self, raw: bytes) -> None:
+    def _deliver(self, raw: bytes) -> None:
         if self._upstream is not None:
             self._delivered[0] += 1
             self._upstream.sendto(raw)
@@ -442,17 +464,17 @@
         service = self._context.service
         self._service = service.ident if service else 0
         if service is None:
-            self._ledger.give_up_all(GivenUp.removed)
+            self._accounting.abandon_all(GivenUp.removed)
             return
         if self._context.is_out:
             self._service = 0
-            self._ledger.give_up_all(GivenUp.centre_out)
+            self._accounting.abandon_all(GivenUp.centre_out)
             return
-        self._ledger.give_up_reassigned(service)
+        self._accounting.abandon_reassigned(service)
         changed = self._history.update(self._context.router.ranks(service))
         if self._started is None:
             self._started = self._timers.now
-            self._announcer.started()
+            self._announcer.request_pointers()
         if changed:
             self._announcer.pool_changed()
 
@@ -460,8 +482,8 @@
         self.pointers.expire(self._timers.now)
 
 
-def _note_ends(owned: OwnedFlow, packet: InnerPacket) -> None:
-    """Note whether the packet opens the flow anew, or closes it."""
+def _update_state(owned: OwnedFlow, packet: InnerPacket) -> None:
+    """Mark the flow as open or closing by the packet's TCP flags."""
     if packet.first:
         owned.reopen()
     elif packet.closing or packet.last:
@@ -469,24 +491,24 @@
 
 
 def _may_follow(envelope: Envelope, pointer: Pointer) -> bool:
-    """Whether to go where a pointer says.
+    """Return whether a packet may be forwarded to a pointer's host.
 
-    A flow that was only passed on may have been refused there. Its packet must
-    not go round in circles until its hops are used up.
+    A flow that was only forwarded may have been refused there. Its packets
+    must not loop between hosts until the hop limit.
     """
     if pointer.incarnation:
         return True
-    return envelope.hops < _PASSED_HOPS and not envelope.flags & URGENT
+    return envelope.hops < _FORWARDED_HOPS and not envelope.flags & URGENT
 
 
 def _prober(envelope: Envelope) -> bytes | None:
-    """Return the host that asks whether its candidates own a flow."""
+    """Return the address of the host that sent a probe, None if it is none."""
     if envelope.flags & PROBE and envelope.candidates:
         return envelope.candidates[-1]
     return None
 
 
-def _belongs(
+def _is_for_service(
     envelope: Envelope,
     packet: InnerPacket,
     service: Service | None,
--- a/siskinbank/sidecar/requests.py
+++ b/siskinbank/sidecar/requests.py
@@ -1,4 +1,4 @@
-"""Run numbered requests on the upstream, within its slots."""
+"""Run the numbered requests of entries on the upstream, within its slots."""
 
 import asyncio
 from collections.abc import Callable
@@ -10,8 +10,8 @@
 from siskinbank.coordination.tickets import TICKET_SECONDS
 from siskinbank.kernel.reasons import Doubt, Drop, Refusal
 from siskinbank.sidecar.context import SidecarContext
-from siskinbank.sidecar.fencing import Fencing
-from siskinbank.sidecar.once import OnceGuard
+from siskinbank.sidecar.fencing import KeyFencer
+from siskinbank.sidecar.once import ExecutionClaims
 from siskinbank.sidecar.slots import SlotQueue
 from siskinbank.sidecar.upstream import UpstreamClient
 from siskinbank.wire.bodies import (
@@ -52,13 +52,16 @@
 _RETRY_AFTER_SECONDS = 1.0
 _LINGER_SECONDS = 3
 _MAX_RUNNING_A_LINK = 10_000
-#: What an upstream answers that is overloaded, or that nobody is behind.
+#: Statuses of an upstream that is overloaded or has no backend.
 _OVERLOADED = frozenset((502, 503, 504))
-_RUNS = 'requests_run'
-#: How a request fails of which the upstream may have read something.
+_RUNS_METRIC = 'requests_run'
+#: Errors after which the upstream may have read part of the request.
 _FAILURES = (aiohttp.ClientError, BodyCutError, OSError, ValueError)
-#: How a request fails of which nothing was sent.
-_UNREACHED = (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError)
+#: Errors after which nothing of the request was sent.
+_CONNECT_FAILURES = (
+    aiohttp.ClientConnectorError,
+    aiohttp.ConnectionTimeoutError,
+)
 
 
 @dataclass(slots=True)
@@ -73,7 +76,7 @@
 
 
 class _EntryLink:
-    """The stream of one entry, and its requests by number."""
+    """The stream of one entry and its requests by number."""
 
     def __init__(self, stream: MessageStream) -> None:
         self.stream = stream
@@ -82,7 +85,7 @@
         self.ended = asyncio.Event()
 
     def post(self, sent: Message) -> None:
-        """Send one short message; a lost link is noticed by its reader."""
+        """Send one short message; the reader detects a lost link."""
         if not self.stream.writer.is_closing():
             self.stream.post(sent)
 
@@ -91,11 +94,11 @@
     """Serves the request streams of all entries."""
 
     def __init__(self, context: SidecarContext) -> None:
-        """Run requests on the context's upstream."""
+        """Initialize a server for the context's upstream."""
         self._context = context
         self._metrics = context.process.metrics
-        self._guard = OnceGuard(
-            context, Fencing(context.process, context.streams).ask
+        self._claims = ExecutionClaims(
+            context, KeyFencer(context.process, context.streams).fence_at
         )
         self._slots = SlotQueue(context)
         self._client: UpstreamClient | None = None
@@ -111,13 +114,13 @@
         context.process.on_close(self._close)
 
     async def serve(self, stream: MessageStream) -> None:
-        """Read one stream until its end; cancel what it leaves behind."""
+        """Serve one stream until its end, then cancel its open requests."""
         link = _EntryLink(stream)
         self._links.add(link)
         link.post(
             LinkOpened(
                 self._context.process.name,
-                self._guard.office.incarnation,
+                self._claims.office.incarnation,
                 self._context.now,
             ),
         )
@@ -131,10 +134,14 @@
         except OSError:
             self._metrics.count(Drop.link_lost)
         finally:
-            self._end(link)
+            self._close_link(link)
 
     async def drain(self) -> None:
-        """Take no more, finish what runs, and let the entries leave."""
+        """Refuse new requests and finish the running ones.
+
+        Then wait up to ``_LINGER_SECONDS`` for the entries to close their
+        links.
+        """
         for link in self._links:
             link.post(GoAway(link.highest))
         while self._tasks:
@@ -153,7 +160,7 @@
         if self._client is not None:
             await self._client.close()
 
-    def _end(self, link: _EntryLink) -> None:
+    def _close_link(self, link: _EntryLink) -> None:
         self._links.discard(link)
         link.ended.set()
         if link.stream.dropped:
@@ -168,29 +175,29 @@
         elif isinstance(received, BodyPart | Credit | Cancel):
             request = link.running.get(received.number)
             if request is not None:
-                self._go_on(request, received)
+                self._continue(request, received)
         else:
             self._metrics.count(Drop.malformed)
 
-    def _go_on(
+    def _continue(
         self,
         request: _Running,
         received: BodyPart | Credit | Cancel,
     ) -> None:
-        """Take a message that belongs to an open request."""
+        """Handle a message that belongs to an open request."""
         if isinstance(received, Credit):
             request.window.give(received.size)
             return
         if isinstance(received, Cancel):
             _cancel(request)
             return
-        wrong = request.body.put(received)
-        if wrong is not None:
-            self._metrics.count(wrong)
-            request.body.fail(BodyCutError(wrong.value))
+        problem = request.body.put(received)
+        if problem is not None:
+            self._metrics.count(problem)
+            request.body.fail(BodyCutError(problem.value))
 
     def _start(self, head: RequestHead, link: _EntryLink) -> None:
-        if not self._is_new(head.number, link):
+        if not self._use_number(head.number, link):
             return
         if len(link.running) >= _MAX_RUNNING_A_LINK:
             self._refuse(head, link, Refusal.at_limit)
@@ -203,8 +210,8 @@
         self._tasks.add(task)
         task.add_done_callback(lambda done: self._finish(request, done))
 
-    def _is_new(self, number: int, link: _EntryLink) -> bool:
-        """Whether a number was not used yet; a used one is left alone."""
+    def _use_number(self, number: int, link: _EntryLink) -> bool:
+        """Mark a number as used; return False if it was used before."""
         if number <= link.highest:
             self._metrics.count(Drop.reused_number)
             return False
@@ -219,7 +226,7 @@
             self._fail(request, Doubt.failed)
 
     def _issue(self, asked: IssueTicket, link: _EntryLink) -> None:
-        if not self._is_new(asked.number, link):
+        if not self._use_number(asked.number, link):
             return
         reason = self._refusal(asked.service)
         if reason is None and self._slots.full:
@@ -230,13 +237,13 @@
                 Refused(asked.number, reason.value, _RETRY_AFTER_SECONDS),
             )
             return
-        issued = self._guard.office.issue(asked.service, asked.key)
+        issued = self._claims.office.issue(asked.service, asked.key)
         link.post(TicketIssued(asked.number, issued, TICKET_SECONDS))
 
     def _fence(self, asked: FenceKey, link: _EntryLink) -> None:
-        if not self._is_new(asked.number, link):
+        if not self._use_number(asked.number, link):
             return
-        if self._guard.fence(asked.service, asked.key):
+        if self._claims.fence(asked.service, asked.key):
             link.post(KeyFenced(asked.number))
             return
         self._metrics.count(Doubt.unsettled)
@@ -250,10 +257,10 @@
         ):
             self._refuse(head, request.link, Refusal.malformed)
             return
-        claim = await self._guard.claim(head)
+        claim = await self._claims.claim(head)
         if isinstance(claim, Doubt):
             self._metrics.count(claim)
-            self._fail(request, claim, self._guard.wait_for(head, claim))
+            self._fail(request, claim, self._claims.retry_after(head, claim))
             return
         reason = claim or await self._admit(head)
         if reason is not None:
@@ -263,22 +270,22 @@
             granted = WINDOW_BYTES - START_BYTES
             request.link.post(Credit(head.number, granted))
         try:
-            await self._ask_upstream(request)
+            await self._send_upstream(request)
         finally:
             self._slots.give_back()
 
     async def _admit(self, head: RequestHead) -> Refusal | None:
-        """Take a slot, or return why not and take back the claim."""
+        """Take a slot, or release the claim and return the reason."""
         reason = self._refusal(head.service)
         if reason is None and head.due <= self._context.now:
             reason = Refusal.expired
         try:
             reason = reason or await self._slots.take(head.due)
         except asyncio.CancelledError:
-            self._guard.release(head)
+            self._claims.release(head)
             raise
         if reason is not None:
-            self._guard.release(head)
+            self._claims.release(head)
         return reason
 
     def _refusal(self, service: int) -> Refusal | None:
@@ -300,7 +307,7 @@
         link.post(Refused(head.number, reason.value, pause))
 
     def _retry_after(self, reason: Refusal) -> float:
-        """Return the seconds after which to come back."""
+        """Return the seconds after which the caller may retry."""
         admission = self._context.admission
         if reason is Refusal.at_limit and admission is not None:
             return admission.limits.slots.retry_after
@@ -321,41 +328,41 @@
             Failed(request.head.number, doubt.value, retry_after),
         )
 
-    async def _ask_upstream(self, request: _Running) -> None:
+    async def _send_upstream(self, request: _Running) -> None:
         base = self._context.settings.upstream_http
         assert base is not None
         if self._client is None:
             self._client = UpstreamClient(base)
         head = request.head
         left = head.due - self._context.now
-        self._metrics.tally(_RUNS)
+        self._metrics.tally(_RUNS_METRIC)
         asked = self._context.now
         try:
             async with (
                 asyncio.timeout(left) as limit,
-                self._client.ask(head, left, request.body.read) as answer,
+                self._client.send(head, left, request.body.read) as answer,
             ):
                 if not head.bounded:
                     limit.reschedule(None)
                 self._note_result(good=answer.status not in _OVERLOADED)
                 self._metrics.time('upstream_answer', self._context.now - asked)
-                await self._pass_on(request, answer)
-        except _UNREACHED:
+                await self._forward_answer(request, answer)
+        except _CONNECT_FAILURES:
             self._note_result(good=False)
-            self._guard.release(head)
+            self._claims.release(head)
             self._refuse(head, request.link, Refusal.unreachable)
         except TimeoutError:
             self._note_result(good=False)
             self._metrics.count(Doubt.expired)
             self._fail(request, Doubt.expired)
         except _FAILURES as error:
-            # A cut body or a lost link says nothing of the upstream.
+            # A truncated body or a lost link is no fault of the upstream.
             if isinstance(error, aiohttp.ClientError):
                 self._note_result(good=False)
             self._metrics.count(Doubt.failed)
             self._fail(request, Doubt.failed)
 
-    async def _pass_on(
+    async def _forward_answer(
         self,
         request: _Running,
         answer: aiohttp.ClientResponse,
--- a/siskinbank/sidecar/slots.py
+++ b/siskinbank/sidecar/slots.py
@@ -1,4 +1,4 @@
-"""The upstream's slots, and a short bounded queue before them."""
+"""The upstream's slots and the short bounded queue for them."""
 
 import asyncio
 from collections import deque
@@ -10,37 +10,38 @@
 
 _MAX_WAIT_SECONDS = 0.5
 _WAKE_SECONDS = 0.1
-#: Places in the queue for each slot.
-_PLACES_A_SLOT = 1
+#: Length of the queue for each slot.
+_QUEUED_A_SLOT = 1
 
 
 class SlotQueue:
-    """Takes slots in the order of asking; refuses what would wait long."""
+    """Assigns slots in order of arrival, with bounds on queue and wait."""
 
     def __init__(self, context: SidecarContext) -> None:
-        """Queue for the slots of the context's limits."""
+        """Initialize a queue for the slots of the context's limits."""
         self._context = context
         self._waiting: deque[asyncio.Future[None]] = deque()
         context.process.timers.every(_WAKE_SECONDS, self._wake)
 
     @property
     def full(self) -> bool:
-        """Whether new work would be refused right now."""
+        """Return whether a new request would be refused."""
         limits = self._context.limits
         if limits is None:
             return True
         limit = limits.slots.limit
-        places = max(limit, 1) * _PLACES_A_SLOT
-        return limits.slots.used + len(self._waiting) >= limit + places
+        queue_size = max(limit, 1) * _QUEUED_A_SLOT
+        return limits.slots.used + len(self._waiting) >= limit + queue_size
 
     async def take(self, due: float) -> Refusal | None:
-        """Take a slot, or return why there is none in time.
+        """Take a slot, or return the reason if none is free in time.
 
         Args:
             due: the deadline on the process's clock, in seconds.
 
         Returns:
-            None when a slot was taken, which must then be given back.
+            None if a slot was taken, which must then be released with
+            ``give_back``.
         """
         limits = self._context.limits
         if limits is None:
@@ -52,45 +53,45 @@
         return await self._wait(due)
 
     def give_back(self) -> None:
-        """Return a slot."""
+        """Release a slot and assign it to the next request in the queue."""
         limits = self._context.limits
         if limits is not None:
             limits.slots.give_back()
         self._wake()
 
     async def _wait(self, due: float) -> Refusal | None:
-        turn = asyncio.get_running_loop().create_future()
-        self._waiting.append(turn)
+        waiter = asyncio.get_running_loop().create_future()
+        self._waiting.append(waiter)
         left = due - self._context.process.timers.now
         try:
             async with asyncio.timeout(min(left, _MAX_WAIT_SECONDS)):
-                await turn
+                await waiter
         except TimeoutError:
             pass
         except asyncio.CancelledError:
-            self._leave(turn)
-            if turn.done() and not turn.cancelled():
+            self._remove(waiter)
+            if waiter.done() and not waiter.cancelled():
                 self.give_back()
             raise
-        self._leave(turn)
-        if not turn.done() or turn.cancelled():
+        self._remove(waiter)
+        if not waiter.done() or waiter.cancelled():
             return Refusal.at_limit
         if self._context.process.timers.now >= due:
             self.give_back()
             return Refusal.expired
         return None
 
-    def _leave(self, turn: asyncio.Future[None]) -> None:
-        if turn in self._waiting:
-            self._waiting.remove(turn)
+    def _remove(self, waiter: asyncio.Future[None]) -> None:
+        if waiter in self._waiting:
+            self._waiting.remove(waiter)
 
     def _wake(self) -> None:
         limits = self._context.limits
         if limits is None:
             return
         while self._waiting and limits.slots.take():
-            turn = self._waiting.popleft()
-            if turn.done():
+            waiter = self._waiting.popleft()
+            if waiter.done():
                 limits.slots.give_back()
                 continue
-            turn.set_result(None)
+            waiter.set_result(None)
--- a/siskinbank/sidecar/streams.py
+++ b/siskinbank/sidecar/streams.py
@@ -1,4 +1,4 @@
-"""Accept streams from entries: plain connections and numbered requests."""
+"""Accept streams from entries: tunnels and numbered requests."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -26,7 +26,7 @@
     context: SidecarContext,
     requests: RequestServer,
 ) -> None:
-    """Listen for streams of the system's own processes.
+    """Start to listen for streams of entries and other sidecars.
 
     Raises:
         OSError: the address could not be bound.
@@ -121,7 +121,7 @@
 
 
 def _refusal(context: SidecarContext, hello: OpenTunnel) -> Refusal | None:
-    """Return why a connection is refused; None when a place was taken."""
+    """Reserve a connection, or return the reason why it is refused."""
     service = context.service
     if service is None or hello.service != service.ident:
         return Refusal.wrong_service
--- a/siskinbank/sidecar/upstream.py
+++ b/siskinbank/sidecar/upstream.py
@@ -1,4 +1,4 @@
-"""Requests to the upstream beside this process."""
+"""HTTP client for the local upstream."""
 
 from collections.abc import AsyncIterator, Awaitable, Callable
 from contextlib import AbstractAsyncContextManager
@@ -13,6 +13,7 @@
 __all__ = ('UpstreamClient',)
 
 _CONNECT_SECONDS = 2
+#: No limit: the slots bound the number of requests.
 _MAX_CONNECTIONS = 0
 _LENGTH = 'Content-Length'
 
@@ -20,31 +21,34 @@
 class UpstreamClient:
     """Sends requests to one upstream.
 
-    Work that may run only once goes over a connection of its own: a kept one
-    may be closed by the upstream at the moment of sending, and nobody could
-    say then whether the request was read.
+    A request that isn't idempotent gets a connection of its own: the upstream
+    may close a reused one at the moment of sending, and then it is unknown
+    whether the request was read.
     """
 
     def __init__(self, base: str) -> None:
-        """Send to the upstream at the URL ``base``."""
+        """Initialize a client of the upstream at the URL ``base``."""
         self._base = base.rstrip('/')
-        self._kept = _open_session(force_close=False)
-        self._single = _open_session(force_close=True)
+        self._reused = _open_session(force_close=False)
+        self._single_use = _open_session(force_close=True)
 
-    def ask(
+    def send(
         self,
         head: RequestHead,
         left: float,
         read: Callable[[], Awaitable[bytes]],
     ) -> AbstractAsyncContextManager[aiohttp.ClientResponse]:
-        """Send one request; use as a context, leaving it early cancels.
+        """Send one request.
+
+        The result is an asynchronous context manager of the response; leaving
+        it early cancels the request.
 
         Args:
             head: the request.
             left: the seconds until its deadline.
-            read: returns the next bytes of its body, none at the end.
+            read: returns the next bytes of its body, empty at the end.
         """
-        session = self._kept if head.idempotent else self._single
+        session = self._reused if head.idempotent else self._single_use
         headers = [(name, text) for name, text in head.headers]
         headers.append((DEADLINE_HEADER, f'{max(left, 0):.3f}'))
         if head.length > 0:
@@ -53,16 +57,16 @@
             head.method,
             URL(f'{self._base}{head.target}', encoded=True),
             headers=headers,
-            data=_chunks(read) if head.length else None,
+            data=_read_chunks(read) if head.length else None,
             allow_redirects=False,
             skip_auto_headers=('User-Agent', 'Content-Type', 'Accept'),
         )
         return context  # type: ignore[no-any-return]
 
     async def close(self) -> None:
-        """Close the connections."""
-        await self._kept.close()
-        await self._single.close()
+        """Close all connections."""
+        await self._reused.close()
+        await self._single_use.close()
 
 
 def _open_session(*, force_close: bool) -> aiohttp.ClientSession:
@@ -80,7 +84,7 @@
     )
 
 
-async def _chunks(
+async def _read_chunks(
     read: Callable[[], Awaitable[bytes]],
 ) -> AsyncIterator[bytes]:
     while chunk := await read():
--- a/siskinbank/sidecar/watch.py
+++ b/siskinbank/sidecar/watch.py
@@ -1,4 +1,4 @@
-"""Watch the upstream: probe it, and ask its health and load endpoints."""
+"""Health checks of the upstream: TCP probes and its health endpoint."""
 
 import asyncio
 import json
@@ -11,14 +11,14 @@
 from siskinbank.config.site import Address
 from siskinbank.sidecar.context import SidecarContext
 
-__all__ = ('probe', 'probe_address', 'read_report', 'start_watch')
+__all__ = ('probe', 'probe_address', 'read_report', 'start_health_checks')
 
 _INTERVAL_SECONDS = 0.3
 _PROBE_SECONDS = 0.5
 _REPORT_SECONDS = 0.5
 _MAX_REPORT_BYTES = 64 * 1024
 _OK = 200
-_HEALTH = {
+_HEALTH_BY_STATUS = {
     'ok': Health.good,
     'good': Health.good,
     'healthy': Health.good,
@@ -28,19 +28,19 @@
 }
 
 
-def start_watch(context: SidecarContext) -> None:
-    """Watch from now on, as far as the settings say how."""
-    probing = _one_at_a_time(context, _probe_upstream)
-    asking = _one_at_a_time(context, _ask_upstream)
+def start_health_checks(context: SidecarContext) -> None:
+    """Start the periodic health checks that the settings enable."""
+    start_probe = _skip_overlapping(context, _probe_upstream)
+    start_fetch = _skip_overlapping(context, _fetch_report)
 
-    def watch() -> None:
-        probing()
-        asking()
+    def run_checks() -> None:
+        start_probe()
+        start_fetch()
 
-    context.process.timers.every(_INTERVAL_SECONDS, watch, jitter=0.1)
+    context.process.timers.every(_INTERVAL_SECONDS, run_checks, jitter=0.1)
 
 
-def _one_at_a_time(
+def _skip_overlapping(
     context: SidecarContext,
     work: Callable[[SidecarContext, UpstreamJudge], Awaitable[None]],
 ) -> Callable[[], None]:
@@ -69,7 +69,7 @@
         await probe(address, judge)
 
 
-async def _ask_upstream(
+async def _fetch_report(
     context: SidecarContext,
     judge: UpstreamJudge,
 ) -> None:
@@ -79,7 +79,7 @@
 
 
 def probe_address(context: SidecarContext) -> Address | None:
-    """Return where a connection shows that the upstream lives."""
+    """Return the address to probe, or None if none is set."""
     settings = context.settings
     if settings.upstream_tcp is not None:
         return settings.upstream_tcp
@@ -90,7 +90,7 @@
 
 
 async def probe(address: Address, judge: UpstreamJudge) -> None:
-    """Open and close one connection."""
+    """Open and close one connection and report the result to the judge."""
     loop = asyncio.get_running_loop()
     started = loop.time()
     try:
@@ -104,7 +104,10 @@
 
 
 async def read_report(url: str) -> LoadReport:
-    """Ask a health or load endpoint; whatever it does, return a report."""
+    """Fetch a report from a health endpoint.
+
+    A failed or timed out request gives a report as well.
+    """
     timeout = aiohttp.ClientTimeout(total=_REPORT_SECONDS)
     try:
         async with (
@@ -124,7 +127,9 @@
         document = None
     if not isinstance(document, dict):
         document = {}
-    health = _HEALTH.get(str(document.get('status', 'ok')), Health.bad)
+    health = _HEALTH_BY_STATUS.get(
+        str(document.get('status', 'ok')), Health.bad
+    )
     if status != _OK and health is Health.good:
         health = Health.bad
     incarnation = document.get('incarnation')
--- a/tests/sidecar/test_context.py
+++ b/tests/sidecar/test_context.py
@@ -1,4 +1,4 @@
-"""Tests of why a sidecar takes no new work."""
+"""Tests of the reasons why a sidecar accepts no new work."""
 
 import unittest
 
@@ -10,10 +10,10 @@
 
 
 class TestRefusal(unittest.TestCase):
-    """Each state has its reason."""
+    """Each state of a sidecar has its reason for refusal."""
 
     def refusal(self, state: str = 'active', **given: bool) -> Refusal | None:
-        """Return the reason in one state of a sidecar."""
+        """Return the reason for refusal in one state of a sidecar."""
         pool = Pool(1)
         sidecar = pool.add_sidecar(NAME, host_address(0))
         pool.publish(PoolPlan({0: state}).next_site())
@@ -28,7 +28,7 @@
         return context.refusal
 
     def test_reasons(self) -> None:
-        """A woken process with an old view takes nothing new either."""
+        """A process resumed with an old view refuses new work as well."""
         draining = Refusal.draining
         self.assertIsNone(self.refusal())
         self.assertEqual(self.refusal('draining'), draining)
@@ -37,6 +37,6 @@
         self.assertEqual(self.refusal(stale=True), Refusal.stale_view)
 
     def test_before_the_first_configuration(self) -> None:
-        """A sidecar that knows no configuration takes nothing."""
+        """A sidecar without a configuration refuses all work."""
         sidecar = Pool(1).add_sidecar(NAME, host_address(0))
         self.assertEqual(sidecar.context.refusal, Refusal.draining)
--- a/tests/sidecar/test_flows.py
+++ b/tests/sidecar/test_flows.py
@@ -1,15 +1,15 @@
-"""Tests of owned flows and of pointers."""
+"""Tests of the tables of owned flows and pointers."""
 
 import unittest
 
-from siskinbank.sidecar.flows import FlowTable, Pointer, Pointers
+from siskinbank.sidecar.flows import FlowTable, Pointer, PointerTable
 
 ONE = b'one'.ljust(13)
 HOST = b'hostaa'
 
 
 def _table(kind: str) -> FlowTable:
-    """Return a table with one flow of a kind."""
+    """Return a table with one flow in the given state."""
     table = FlowTable()
     if kind == 'adopted':
         table.adopt(ONE, 0, charged=False)
@@ -21,10 +21,10 @@
 
 
 class TestFlowTable(unittest.TestCase):
-    """Ageing of flows."""
+    """Idle timeouts of flows."""
 
-    def test_silence_ends_flows(self) -> None:
-        """Open, closing and adopted flows last for different times."""
+    def test_idle_timeouts(self) -> None:
+        """Open, closing and adopted flows have different idle timeouts."""
         cases = (
             ('open', 800, 1000),
             ('closing', 20, 40),
@@ -37,17 +37,17 @@
                 self.assertEqual(len(table.expire(gone)), 1)
                 self.assertNotIn(ONE, list(table))
 
-    def test_adopted_flow_that_goes_on_is_open(self) -> None:
-        """A second packet proves that the flow lives."""
+    def test_adopted_flow_in_use_is_open(self) -> None:
+        """A second packet raises the timeout of an adopted flow."""
         table = FlowTable()
         table.adopt(ONE, 0, charged=False)
         owned = table.get(ONE)
         assert owned is not None
-        owned.seen = 10
+        owned.last_seen = 10
         self.assertEqual(table.expire(200), [])
 
     def test_reopened_flow_lasts(self) -> None:
-        """A new connection with old ports is no closing flow."""
+        """A new connection with the same ports is open, not closing."""
         table = FlowTable()
         owned = table.add(ONE, 0)
         owned.close()
@@ -56,29 +56,29 @@
 
 
 class TestPointers(unittest.TestCase):
-    """Leases and their bound."""
+    """Leases of pointers and the size of the table."""
 
     def test_bound(self) -> None:
-        """However many come, the newest ones stay."""
-        pointers = Pointers(10)
+        """A full table evicts the oldest pointers."""
+        pointers = PointerTable(10)
         for number in range(100):
             pointers.put(number, Pointer(HOST, 1, 1, 50))
         self.assertEqual(len(pointers), 10)
         self.assertIsNone(pointers.get(0, 0))
         self.assertIsNotNone(pointers.get(99, 0))
 
-    def test_leases_end(self) -> None:
-        """A lease that has run out says nothing, removed or not."""
-        pointers = Pointers(10)
+    def test_leases_expire(self) -> None:
+        """An expired pointer is not returned, even before it is removed."""
+        pointers = PointerTable(10)
         pointers.put(1, Pointer(HOST, 1, 1, 50))
         self.assertIsNotNone(pointers.get(1, 49))
         self.assertIsNone(pointers.get(1, 51))
         pointers.expire(51)
         self.assertEqual(len(pointers), 0)
 
-    def test_restart_keeps_pointers_to_earlier_lives(self) -> None:
-        """Only the pointers to earlier lives of that host last longer."""
-        pointers = Pointers(10)
+    def test_extend_pointers_to_earlier_incarnations(self) -> None:
+        """Only pointers to earlier incarnations of that host are extended."""
+        pointers = PointerTable(10)
         pointers.put(1, Pointer(HOST, 1, 1, 50))
         pointers.put(2, Pointer(HOST, 2, 1, 50))
         pointers.put(3, Pointer(b'otherh', 1, 1, 50))
--- a/tests/sidecar/test_once.py
+++ b/tests/sidecar/test_once.py
@@ -1,4 +1,4 @@
-"""Tests of at most one run: copies, other entries, changes and restarts."""
+"""Tests that a request runs at most once: copies, changes, restarts."""
 
 import asyncio
 import itertools
@@ -12,7 +12,7 @@
 from siskinbank.wire.request_messages import AnswerHead, BodyPart, RequestHead
 from tests.request_case import RequestCase, running_rig
 
-#: A message of the exchange, and whether it goes from entry to sidecar.
+#: Messages of the exchange, and whether they go from entry to sidecar.
 STEPS = (
     (RequestHead, True),
     (BodyPart, True),
@@ -27,7 +27,7 @@
 
 
 def fail_first(step: tuple[type[Message], bool], fault: Fault) -> object:
-    """Return a script that lets one fault befall one message."""
+    """Return a script that applies one fault to one message."""
     done = False
 
     def script(sent: Message, there: bool) -> Fault | None:
@@ -41,7 +41,7 @@
 
 
 class TestFaultAtEachStep(RequestCase):
-    """Each fault at each step of the exchange."""
+    """Each fault at each step of the request exchange."""
 
     async def check(
         self,
@@ -53,7 +53,8 @@
             link = rig.hosts['matcher-1'].link
             ticket = await self.take_ticket(rig.urls()[0])
             link.script = fail_first(step, fault)  # type: ignore[assignment]
-            # A doubled message costs no time, so only a fault of ours can.
+            # A doubled message causes no delay, so the request must be answered
+            # in time.
             doubled = fault is Fault.double
             deadline = LONG_DEADLINE if doubled else SHORT_DEADLINE
             first = await self.send(rig, 0, ticket, deadline)
@@ -83,7 +84,7 @@
         return await self.post(url, BODY, ticket=ticket, deadline=deadline)
 
     async def test_all(self) -> None:
-        """At most one run, true refusals, whole answers."""
+        """At most one run, no run after a refusal, complete answers."""
         cases = list(itertools.product(STEPS, Fault))
         checks = [self.check(step, fault) for step, fault in cases]
         results = await asyncio.gather(*checks, return_exceptions=True)
@@ -94,10 +95,10 @@
 
 
 class TestSameKeyAgain(RequestCase):
-    """The same request sent again."""
+    """The same request is sent more than once."""
 
     async def test_through_other_entries_at_once(self) -> None:
-        """Ten copies of a key, and of a ticket, run once."""
+        """Nine copies of a key, and of a ticket, run once."""
         async with running_rig(entries=3, hosts=3) as rig:
             urls = rig.urls()
             ticket = await self.take_ticket(urls[0], 'k2')
@@ -115,7 +116,7 @@
                     self.assertEqual(self.runs(rig, key), 1)
 
     async def test_after_each_change(self) -> None:
-        """Pool changes and restarts between two copies."""
+        """The pool changes or a sidecar restarts between two copies."""
         changes = {
             'drained': self.drain,
             'gone': self.remove,
@@ -137,13 +138,13 @@
             await change(rig, self.ran_at(rig, 'k2'))
             for url in urls:
                 bare = await self.post(url, key='k1')
-                told = await self.post(url, key='k2', ticket=ticket)
-                self.assertEqual((bare[0], told[0]), ('unknown', 'unknown'))
+                outcome = await self.post(url, key='k2', ticket=ticket)
+                self.assertEqual((bare[0], outcome[0]), ('unknown', 'unknown'))
             self.assertEqual(self.runs(rig, 'k1'), 1)
             self.assertEqual(self.runs(rig, 'k2'), 1)
 
     async def test_new_key_after_a_drain(self) -> None:
-        """A new home asks the former one, and runs what is new at once."""
+        """A new primary host asks the former one and runs new keys at once."""
         async with running_rig(entries=1, hosts=3) as rig:
             await self.drain(rig, rig.hosts['matcher-1'])
             outcomes = {
@@ -153,7 +154,7 @@
             self.assertEqual(outcomes, {'answered'})
 
     async def test_host_that_joins(self) -> None:
-        """A host that joins does not know the former homes, and waits."""
+        """A host that joins does not know former primary hosts, and waits."""
         async with running_rig(entries=1, hosts=3) as rig:
             url = rig.urls()[0]
             joining = rig.hosts['matcher-3']
@@ -172,7 +173,7 @@
             self.assertTrue(joining.upstream.runs)
 
     async def test_unseen_pools(self) -> None:
-        """A host that missed a generation does not know all former homes."""
+        """A host that missed a generation lacks some former primary hosts."""
         async with running_rig(entries=1, hosts=3) as rig:
             url = rig.urls()[0]
             first, second, third = rig.hosts.values()
@@ -196,44 +197,44 @@
         }
 
     def most_runs(self, rig: RequestRig) -> int:
-        """Return how often the key that ran most often ran."""
+        """Return the highest number of runs of a key."""
         runs: Counter[str] = Counter()
         for host in rig.hosts.values():
             runs.update(host.upstream.runs)
         return max(runs.values())
 
-    async def test_restarted_home_waits(self) -> None:
-        """A restarted home runs no bare key until it may vouch for it."""
+    async def test_restarted_primary_waits(self) -> None:
+        """A restarted primary host runs no bare key for ``SETTLE_SECONDS``."""
         async with running_rig(entries=1, hosts=1) as rig:
             url = rig.urls()[0]
             await self.restart(rig, rig.hosts['matcher-1'])
             self.assertEqual((await self.post(url, key='k'))[0], 'unknown')
             self.assertEqual(self.runs(rig, 'k'), 0)
             ticket = await self.take_ticket(url)
-            told, _body = await self.post(url, ticket=ticket)
-            self.assertEqual(told, 'answered')
+            outcome, _body = await self.post(url, ticket=ticket)
+            self.assertEqual(outcome, 'answered')
             rig.skew += SETTLE_SECONDS + 1
             self.assertEqual((await self.post(url, key='k'))[0], 'answered')
 
     async def test_late_copy(self) -> None:
-        """What is held back past its deadline is never run."""
+        """A request that is delayed past its deadline never runs."""
         async with running_rig(entries=1, hosts=1) as rig:
             host = rig.hosts['matcher-1']
             url = rig.urls()[0]
             ticket = await self.take_ticket(url)
             host.link.pause()
             for key, given in (('k1', ''), ('k2', ticket)):
-                told, _body = await self.post(
+                outcome, _body = await self.post(
                     url, key=key, ticket=given, deadline=0.3
                 )
-                self.assertEqual(told, 'unknown')
+                self.assertEqual(outcome, 'unknown')
             host.link.resume()
-            # The link is in order: a later answer comes after the late copies.
+            # The link keeps the order: this answer follows the delayed copies.
             self.assertEqual((await self.post(url, key='k3'))[0], 'answered')
             self.assertEqual(host.upstream.runs.keys(), {'k3'})
 
-    async def test_refused_ticket_is_spent(self) -> None:
-        """After a refusal a copy of the ticket does not run."""
+    async def test_refused_ticket_is_invalid(self) -> None:
+        """After a refusal no copy of the ticket runs."""
         async with running_rig(entries=1, hosts=1) as rig:
             url = rig.urls()[0]
             ticket = await self.take_ticket(url)
@@ -250,7 +251,7 @@
             self.assertEqual(rig.hosts['matcher-1'].upstream.arrivals, 0)
 
     async def test_lossy_link(self) -> None:
-        """Copies through a link with all faults at once."""
+        """Copies are sent through a link with all faults at once."""
         async with running_rig(entries=2, hosts=2) as rig:
             for host in rig.hosts.values():
                 host.link.faults = LinkFaults(0.03, 0.1, 0.03, 0.03, 0.002)
@@ -265,22 +266,22 @@
             self.assertLessEqual(max(self.runs(rig, key) for key in keys), 1)
 
     async def drain(self, rig: RequestRig, host: RigHost) -> None:
-        """Let a host drain."""
+        """Set the state of a host to draining."""
         host.state = 'draining'
         rig.publish()
 
     async def remove(self, rig: RequestRig, host: RigHost) -> None:
-        """Take a host out of the configuration."""
+        """Remove a host from the configuration."""
         host.state = 'absent'
         rig.publish()
 
     async def restart(self, rig: RequestRig, host: RigHost) -> None:
-        """Restart a sidecar."""
+        """Restart the sidecar of a host."""
         await rig.kill_sidecar(host.name)
         await rig.start_sidecar(host.name)
 
     async def change_unevenly(self, rig: RequestRig, host: RigHost) -> None:
-        """Drain a host in the eyes of one entry and the other sidecars."""
+        """Publish a drain to all but one entry and the host itself."""
         host.state = 'draining'
         rig.generation += 1
         site = rig.site()
@@ -290,23 +291,23 @@
 
 
 class TestNoKey(RequestCase):
-    """Not idempotent and without a key."""
+    """Requests that are not idempotent and have no key."""
 
-    async def test_sent_once_after_doubt(self) -> None:
-        """Doubt ends it; a fenced refusal goes on to the next host."""
+    async def test_sent_once_if_outcome_unknown(self) -> None:
+        """A request whose outcome is unknown is not sent again."""
         async with running_rig(entries=1, hosts=2) as rig:
             for host in rig.hosts.values():
                 host.upstream.behaviour = host.upstream.behaviour.drop
-            told, _body = await self.post(rig.urls()[0])
-            self.assertEqual(told, 'unknown')
+            outcome, _body = await self.post(rig.urls()[0])
+            self.assertEqual(outcome, 'unknown')
             self.assertEqual(self.runs(rig, ''), 1)
 
-    async def test_passed_on_after_refusal(self) -> None:
-        """An upstream that is down has run nothing."""
+    async def test_forwarded_after_refusal(self) -> None:
+        """A request that an upstream can't have run goes to the next host."""
         async with running_rig(entries=1, hosts=2) as rig:
             await rig.hosts['matcher-1'].upstream.stop()
             for _ in range(6):
-                told, _body = await self.post(rig.urls()[0])
-                self.assertEqual(told, 'answered')
+                outcome, _body = await self.post(rig.urls()[0])
+                self.assertEqual(outcome, 'answered')
             self.assertEqual(self.runs(rig, ''), 6)
             await wait_until(lambda: rig.hosts['matcher-2'].upstream.served)
--- a/tests/sidecar/test_packets.py
+++ b/tests/sidecar/test_packets.py
@@ -1,4 +1,4 @@
-"""Tests of ownership: real entries and sidecars in a pool in memory."""
+"""Tests of flow ownership with real entries and sidecars in memory."""
 
 import unittest
 
@@ -59,15 +59,15 @@
             self.pool.add_entry(f'entry-{number}', number)
         self.site = self.plan.next_site()
         self.pool.publish(self.site)
-        # Past the time in which the hosts mistrust their new pool.
+        # Long enough for the hosts to treat their new pool as stable.
         self.pool.run(70)
 
     def add_sidecar(self, number: int) -> None:
-        """Start a host's sidecar."""
+        """Start the sidecar of a host."""
         self.pool.add_sidecar(f'{SERVICE}-{number}', host_address(number))
 
     def send(self, raw: bytes, entry: int = 0, seconds: float = 0.5) -> None:
-        """Hand a packet to one entry and let time pass."""
+        """Send a packet to one entry and advance the time."""
         name = f'entry-{entry}'
         self.pool.entries[name].ingress.receive(raw, SENDER)
         self.pool.run(seconds)
@@ -83,7 +83,7 @@
         ]
 
     def delivered(self, raw: bytes) -> dict[str, int]:
-        """Return how many packets of a flow each upstream got."""
+        """Return how many packets of a flow each upstream received."""
         packet = parse_inner(raw)
         assert packet is not None
         return {
@@ -93,12 +93,12 @@
         }
 
     def drops(self, reason: Drop) -> int:
-        """Return a drop's count over the whole pool."""
+        """Return the number of drops for a reason over the whole pool."""
         parts = [*self.pool.entries.values(), *self.pool.sidecars.values()]
         return sum(part.process.metrics.value(reason) for part in parts)
 
     def restart(self, name: str) -> PoolSidecar:
-        """Restart a sidecar beside its running upstream."""
+        """Restart a sidecar while its upstream keeps running."""
         old = self.pool.sidecars[name]
         self.pool.kill(name)
         new = self.pool.add_sidecar(name, old.address, old.upstream)
@@ -106,17 +106,17 @@
         return new
 
     def forget_routes(self) -> None:
-        """Replace all entries by new ones of the same names."""
+        """Replace all entries by new ones with the same names."""
         for number in range(ENTRIES):
             entry = self.pool.add_entry(f'entry-{number}', number)
             entry.view.adopt(self.site)
 
 
 class TestOpening(PoolCase):
-    """Each flow is taken by exactly one host."""
+    """Each flow is admitted by exactly one host."""
 
     def test_copies_through_uneven_entries(self) -> None:
-        """A first packet's copy under another generation finds the owner."""
+        """A copy of a first packet under another generation finds the owner."""
         for udp in (False, True):
             for port in range(2000, 2080):
                 with self.subTest(udp=udp, port=port):
@@ -127,8 +127,8 @@
                     self.assertEqual(len(self.owners(raw)), 1)
                     self.assertEqual(len(self.delivered(raw)), 1)
 
-    def test_both_asked_at_once(self) -> None:
-        """Two entries offer one flow to two hosts in the same moment."""
+    def test_two_offers_at_once(self) -> None:
+        """Two entries offer one flow to two hosts at the same time."""
         self._grow_unevenly()
         for port in range(3000, 3060):
             raw = make_udp(_flow(port), bytes(20))
@@ -137,8 +137,8 @@
             with self.subTest(port):
                 self.assertEqual(len(self.owners(raw)), 1)
 
-    def test_silent_host_delays_only(self) -> None:
-        """Where the host to ask is dead, the third copy is taken."""
+    def test_silent_host_only_delays(self) -> None:
+        """If the host to probe is dead, the third copy is admitted."""
         self.pool.kill(f'{SERVICE}-0')
         self.plan.states[0] = 'draining'
         self.site = self.plan.next_site()
@@ -151,7 +151,7 @@
                 self.assertEqual(len(self.owners(raw)), 1)
 
     def test_agrees_with_stateless_hashing(self) -> None:
-        """In a pool at rest the naive choice and ours are one."""
+        """In a stable pool rendezvous hashing alone gives the owner."""
         rank = prepare_rendezvous(self.site.services[SERVICE].hosts, 1)
 
         @settings(max_examples=60, deadline=None)
@@ -171,7 +171,7 @@
             self._grow_unevenly()
 
     def _grow_unevenly(self) -> None:
-        """Add two hosts; entry 0 and some sidecars stay behind."""
+        """Add two hosts; entry 0 and some sidecars keep the old generation."""
         self.plan.states.update(
             {number: 'active' for number in range(HOSTS + 2)},
         )
@@ -182,14 +182,14 @@
 
 
 class TestMoved(PoolCase):
-    """Flows that do not live where they rank."""
+    """Flows whose owner is not their primary host."""
 
     def test_found_after_growth(self) -> None:
         """TCP and UDP flows are found by pointers."""
         self._check_all(self._open_and_move())
 
     def test_found_though_pointers_were_lost(self) -> None:
-        """Without any pointer the packets are passed along by rank."""
+        """Without any pointer the packets are forwarded by rank."""
         packets = self._open_and_move()
         for sidecar in self.pool.sidecars.values():
             for raw in packets:
@@ -198,8 +198,8 @@
                 sidecar.handler.pointers.forget(packet.key)
         self._check_all(_only_tcp(packets))
 
-    def test_found_after_home_restarted(self) -> None:
-        """A sidecar that lost its pointers is told them again."""
+    def test_found_after_primary_restarted(self) -> None:
+        """A sidecar that lost its pointers receives them again."""
         packets = self._open_and_move()
         for number in range(HOSTS, HOSTS + 2):
             self.restart(f'{SERVICE}-{number}')
@@ -207,7 +207,7 @@
         self._check_all(packets)
 
     def test_adopted_after_restart(self) -> None:
-        """A sidecar's restart cuts no flow, with routes kept or forgotten."""
+        """A sidecar restart ends no flow, with or without cached routes."""
         packets = self._open_and_move()
         for forget in (False, True):
             for number in range(HOSTS):
@@ -218,10 +218,11 @@
             with self.subTest(forget=forget):
                 self._check_all(_only_tcp(packets))
 
-    def test_young_host_asks_before_it_takes(self) -> None:
-        """A host that came with others, two generations ago, takes no flow.
+    def test_recent_host_probes_before_it_admits(self) -> None:
+        """A host that joined two generations ago probes before it admits flows.
 
-        The owners have not heard of it, so it has no pointers. Found by
+        The owners' views do not contain it yet, so it has no pointers and
+        could admit flows that other hosts own. Found by
         ``lab flows --seed 3`` and ``--seed 5``.
         """
         flows = [make_udp(_flow(port), bytes(20)) for port in range(100, 400)]
@@ -240,7 +241,7 @@
         self._check_all(flows)
 
     def test_udp_adopted_by_draining_host(self) -> None:
-        """A draining host's sidecar restarts; its UDP flows stay there.
+        """UDP flows of a draining host survive a restart of its sidecar.
 
         Found by ``lab flows --seed 9``.
         """
@@ -256,7 +257,7 @@
         self._check_all(udp)
 
     def test_udp_of_draining_host_known_by_pointers_only(self) -> None:
-        """The same when the entries have forgotten the flows as well.
+        """The flows stay there even if the entries have lost their routes too.
 
         Found by ``lab flows --seed 104``.
         """
@@ -274,7 +275,7 @@
         self._check_all(pointed)
 
     def _is_pointed(self, raw: bytes) -> bool:
-        """Whether a sidecar knows where a flow of the first host lived."""
+        """Return whether a sidecar has a pointer to the first host."""
         packet = parse_inner(raw)
         assert packet is not None
         pointers = [
@@ -286,7 +287,7 @@
         return any(known and known.address == first for known in pointers)
 
     def _open_and_move(self, count: int = 60) -> list[bytes]:
-        """Open TCP and UDP flows, then add two hosts and forget routes."""
+        """Open TCP and UDP flows, add two hosts and replace the entries."""
         opened = []
         for port in range(2000, 2000 + count):
             first = make_packet(_flow(port), SYN)
@@ -315,8 +316,8 @@
             self.assertEqual(len(self.owners(raw)), 1)
 
 
-class TestFences(PoolCase):
-    """What must not be believed or delivered."""
+class TestInvalidInput(PoolCase):
+    """Invalid packets and messages are neither trusted nor delivered."""
 
     def setUp(self) -> None:
         """Open one flow."""
@@ -327,7 +328,7 @@
         self.sidecar = self.pool.sidecars[self.owner]
 
     def test_crafted_envelopes(self) -> None:
-        """Envelopes that lie are dropped and counted; the flow goes on."""
+        """Forged envelopes are dropped and counted; the flow continues."""
         own = pack_address(self.sidecar.address)
         ident = digest64(SERVICE)
         other = make_packet(Flow('10.9.0.1', 2000, '10.77.0.2', 443), ACK)
@@ -371,23 +372,23 @@
         self.assertEqual(self.delivered(self.raw), {self.owner: 2})
 
     def test_unkeyed_and_noise(self) -> None:
-        """Datagrams without our key are counted, whatever they hold."""
+        """Datagrams without a valid key are counted, whatever they contain."""
         before = self.drops(Drop.unkeyed)
         for noise in (b'', b'\x01', bytes(200), self.raw):
             self.pool.network.deliver(noise, self.sidecar.address)
         self.assertEqual(self.drops(Drop.unkeyed), before + 4)
 
     def test_replayed_hint(self) -> None:
-        """A hint of a wrong host costs hops, and no flow."""
+        """A hint that names a wrong host costs hops but breaks no flow."""
         wrong = next(name for name in self.pool.sidecars if name != self.owner)
         stranger = self.pool.sidecars[wrong]
         packet = parse_inner(self.raw)
         assert packet is not None
-        for life in (0, 1, stranger.handler.incarnation):
+        for incarnation in (0, 1, stranger.handler.incarnation):
             hint = Owner(
                 packet.flow,
                 pack_address(stranger.address),
-                life,
+                incarnation,
                 1,
             )
             self.pool.entries['entry-0'].ingress.learn(hint, SENDER)
@@ -396,7 +397,7 @@
         self.assertEqual(self.owners(self.raw), [self.owner])
 
     def test_false_pointers(self) -> None:
-        """Malformed or circular pointers break nothing."""
+        """Malformed or circular pointers break no flow."""
         ident = digest64(SERVICE)
         packet = parse_inner(self.raw)
         assert packet is not None
@@ -405,15 +406,15 @@
         for name in names:
             there = pack_address(self.pool.sidecars[names[0]].address)
             for flows in (number[:5], b'', number):
-                told = Moved(ident, there, 1, 1, 30, flows)
-                self.pool.sidecars[name].handler.learn(told, SENDER)
+                moved = Moved(ident, there, 1, 1, 30, flows)
+                self.pool.sidecars[name].handler.receive_message(moved, SENDER)
         self.forget_routes()
         self.send(self.raw, 0)
         self.send(self.raw, 1)
         self.assertEqual(self.delivered(self.raw), {self.owner: 3})
 
-    def test_forged_end_cuts_nothing(self) -> None:
-        """After a reset that the upstream ignores the flow goes on."""
+    def test_forged_end_ends_no_flow(self) -> None:
+        """The flow continues after a FIN or RST that the upstream ignores."""
         for flags in (RST, FIN | ACK):
             self.send(make_packet(_flow(2000), flags))
             self.send(self.raw)
@@ -433,7 +434,7 @@
         self.assertEqual(counts.value(Drop.wrong_service), 1)
 
     def test_owner_gone(self) -> None:
-        """What lived on a host that is gone is given up, or opened anew."""
+        """Flows of a lost host are dropped, or opened at another host."""
         self.send(self.raw)
         datagram = make_udp(_flow(7), bytes(20))
         while self.owners(datagram) != [self.owner]:
@@ -448,7 +449,7 @@
         self.assertEqual(len(self.owners(datagram)), 1)
 
     def test_centre_out(self) -> None:
-        """Flows there are given up at once; no packet is delivered."""
+        """Flows in a data centre that goes out of service are abandoned."""
         number = int(self.owner.rpartition('-')[2])
         self.send(self.raw)
         before = self.delivered(self.raw)
@@ -463,10 +464,10 @@
 
 
 class TestSuspension(PoolCase):
-    """What processes do that wake up late."""
+    """Processes that resume after a suspension."""
 
-    def test_waking_processes_look_first(self) -> None:
-        """Nothing passes until the view is fresh; then all goes on."""
+    def test_resumed_processes_refresh_first(self) -> None:
+        """Packets are dropped until the view is fresh, then delivered again."""
         raw = make_packet(_flow(2000), ACK, b'x')
         self.send(make_packet(_flow(2000), SYN))
         self.send(raw)
@@ -478,7 +479,7 @@
         envelope = Envelope(
             NAMED, 0, 0, digest64(SERVICE), 1, 0, own, (own,), raw
         )
-        self.assertFalse(sidecar.handler.take_owned(envelope.pack()))
+        self.assertFalse(sidecar.handler.receive_owned(envelope.pack()))
         sidecar.handler.receive(envelope, SENDER)
         self.assertEqual(self.delivered(raw), {owner: 2})
         self.assertEqual(self.drops(Drop.stale_view), 2)
--- a/tests/sidecar/test_watch.py
+++ b/tests/sidecar/test_watch.py
@@ -1,4 +1,4 @@
-"""Tests of the watch over an upstream, on loopback."""
+"""Tests of the upstream's health checks, on loopback."""
 
 import socket
 import unittest
@@ -11,11 +11,11 @@
 from siskinbank.sidecar.watch import probe, read_report
 
 
-class TestWatch(unittest.IsolatedAsyncioTestCase):
-    """Whatever an endpoint does, a report comes back."""
+class TestHealthChecks(unittest.IsolatedAsyncioTestCase):
+    """Reports and probes of an upstream."""
 
     async def asyncSetUp(self) -> None:
-        """Serve the stand-in's endpoint."""
+        """Serve a stand-in health endpoint."""
         self.endpoint = HealthEndpoint()
         app = web.Application()
         self.endpoint.add_to(app)
@@ -27,11 +27,11 @@
         self.url = 'http://{0}:{1}/health'.format(*self.address)
 
     async def asyncTearDown(self) -> None:
-        """Stop serving."""
+        """Stop the stand-in endpoint."""
         await self.runner.cleanup()
 
     async def test_modes(self) -> None:
-        """Lies and hangs are told as what they are."""
+        """Each mode of the endpoint gives the matching health."""
         for mode, health in (
             (HealthMode.true, Health.good),
             (HealthMode.says_cold, Health.cold),
@@ -43,8 +43,8 @@
                 report = await read_report(self.url)
                 self.assertIs(report.health, health)
 
-    async def test_restart_shows(self) -> None:
-        """A new incarnation is seen at once."""
+    async def test_restart_is_detected(self) -> None:
+        """A new incarnation of the upstream is detected at once."""
         verdicts: list[Verdict] = []
         judge = UpstreamJudge(FakeClock(), verdicts.append, 60)
         judge.note_report(await read_report(self.url))
@@ -53,7 +53,7 @@
         self.assertEqual(verdicts, [Verdict.cold])
 
     async def test_probe(self) -> None:
-        """A refused connection counts against the upstream."""
+        """Refused connections mark the upstream as unreachable."""
         verdicts: list[Verdict] = []
         judge = UpstreamJudge(FakeClock(), verdicts.append, 60)
         await probe(self.address, judge)
