--- a/siskinbank/coordination/__init__.py
+++ b/siskinbank/coordination/__init__.py
@@ -1,15 +1,15 @@
-"""Parts for coordination without shared state, for others to embed.
+"""Embeddable building blocks for coordination without shared state.
 
-Importing this package loads nothing else; each part is loaded when its name
-is first used. None of them needs the daemons, a web library or a socket; only
-the parts of the dissemination load validation and metrics. The client for
+Importing this package loads nothing else; each name is imported on its first
+use. No name needs the daemons, a web library or a socket; only those for the
+dissemination of configuration load validation and metrics. The client for
 requests, which needs aiohttp, is `siskinbank.coordination.client`.
 """
 
 import importlib
 from typing import Any
 
-_PARTS = {
+_EXPORTS = {
     'Backoff': 'siskinbank.coordination.backoff',
     'ClimbingLimit': 'siskinbank.admission.limit',
     'Clock': 'siskinbank.kernel.clock',
@@ -34,16 +34,16 @@
     'prepare_ranking': 'siskinbank.coordination.ranking',
 }
 
-__all__ = tuple(sorted(_PARTS))  # noqa: PLE0605
+__all__ = tuple(sorted(_EXPORTS))  # noqa: PLE0605
 
 
 def __getattr__(name: str) -> Any:  # noqa: WPS413
-    """Load a part on first use (PEP 562)."""
-    if name not in _PARTS:
-        raise AttributeError(f'{__name__} has no {name}')
-    return getattr(importlib.import_module(_PARTS[name]), name)
+    """Import an exported name on first use (PEP 562)."""
+    if name not in _EXPORTS:
+        raise AttributeError(f'module {__name__} has no attribute {name}')
+    return getattr(importlib.import_module(_EXPORTS[name]), name)
 
 
 def __dir__() -> list[str]:  # noqa: WPS413
-    """Return the names of all parts."""
+    """Return all exported names."""
     return list(__all__)
--- a/siskinbank/coordination/backoff.py
+++ b/siskinbank/coordination/backoff.py
@@ -8,10 +8,10 @@
 
 @dataclass(slots=True)
 class Backoff:
-    """The pauses between tries; each is drawn from a range that doubles.
+    """Pauses between tries, drawn from a range that doubles.
 
-    A pause is uniform between 0 and ``base * 2 ** tries``, at most ``cap``,
-    so that callers that failed together do not come back together.
+    A pause is uniform between 0 and ``base * 2 ** tries`` seconds, at most
+    ``cap``, so that callers that failed together don't retry together.
     """
 
     base: float = 0.025
--- a/siskinbank/coordination/budget.py
+++ b/siskinbank/coordination/budget.py
@@ -1,51 +1,51 @@
-"""A retry budget: a share of fresh work plus a small floor."""
+"""A retry budget: a share of new requests plus a minimum rate."""
 
 from siskinbank.kernel.clock import Clock
 
 __all__ = ('RetryBudget',)
 
 _SHARE = 0.1
-_FLOOR_A_SECOND = 0.1
+_FLOOR_PER_SECOND = 0.1
 _BURST = 5
 
 
 class RetryBudget:
-    """Allows retries for a share of the fresh requests.
+    """Token bucket that limits retries to a share of new requests.
 
-    Each fresh request earns ``share`` of a retry, and each second earns
-    ``floor``, so that rare requests may be tried again too. At most ``burst``
-    retries are saved up.
+    Each new request adds ``share`` of a token and each second adds ``floor``,
+    so that rare requests may be retried too. The bucket holds at most
+    ``burst`` tokens; a retry takes one.
     """
 
     def __init__(
         self,
         clock: Clock,
         share: float = _SHARE,
-        floor: float = _FLOOR_A_SECOND,
+        floor: float = _FLOOR_PER_SECOND,
         burst: float = _BURST,
     ) -> None:
-        """Start with one retry saved."""
+        """Create a bucket with one token."""
         self._clock = clock
         self._share = share
         self._floor = floor
         self._burst = burst
-        self._saved = min(1, burst)
-        self._earned_at = clock()
+        self._tokens = min(1, burst)
+        self._refilled_at = clock()
 
     def note_fresh(self) -> None:
-        """Earn a share for a fresh request."""
-        self._earn(self._share)
+        """Add the share of a new request."""
+        self._refill(self._share)
 
     def take(self) -> bool:
-        """Spend one retry if there is one."""
-        self._earn(0)
-        if self._saved < 1:
+        """Take a token; return whether there was one."""
+        self._refill(0)
+        if self._tokens < 1:
             return False
-        self._saved -= 1
+        self._tokens -= 1
         return True
 
-    def _earn(self, amount: float) -> None:
+    def _refill(self, amount: float) -> None:
         now = self._clock()
-        by_time = max(now - self._earned_at, 0) * self._floor
-        self._earned_at = now
-        self._saved = min(self._saved + by_time + amount, self._burst)
+        by_time = max(now - self._refilled_at, 0) * self._floor
+        self._refilled_at = now
+        self._tokens = min(self._tokens + by_time + amount, self._burst)
--- a/siskinbank/coordination/client.py
+++ b/siskinbank/coordination/client.py
@@ -1,7 +1,7 @@
 """A small client that sends requests through the entries as documented.
 
-It takes a ticket for work that may run only once, tries again only where
-that is safe, and pauses between tries as it is told to.
+It requests a ticket for work that may run only once, retries only where that
+is safe, and pauses between tries as the answers ask (Retry-After).
 """
 
 import asyncio
@@ -33,11 +33,11 @@
 _KEY_BYTES = 16
 _NEW_TICKET = 'new'
 _OK = 200
-_CLOSED_SECONDS = 10
-#: Doubt after which the same ticket may be sent again to learn more.
-_ASK_AGAIN = frozenset((Doubt.lost, Doubt.unreachable, Doubt.unsettled))
-#: Refusals of a ticket that come from its host only.
-_SAID_BY_HOST = frozenset(
+_MAX_BACKOFF_SECONDS = 10
+#: Unknown outcomes after which the same ticket is sent again to resolve them.
+_RESEND_REASONS = frozenset((Doubt.lost, Doubt.unreachable, Doubt.unsettled))
+#: Refusals of a ticket that only its host sends.
+_HOST_REFUSALS = frozenset(
     (
         Refusal.at_limit,
         Refusal.draining,
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """A whole answer."""
+    """A complete answer."""
 
     status: int
     headers: Mapping[str, str]
@@ -65,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Work:
-    """One request; ``deadline`` is in seconds from when it is sent.
+    """One request; ``deadline`` is in seconds from the time of sending.
 
     Work that is not idempotent runs at most once.
     """
@@ -83,7 +83,7 @@
 class _Entry:
     url: str
     backoff: Backoff
-    closed_until: float = 0
+    retry_at: float = 0
 
 
 class RequestClient:
@@ -98,16 +98,19 @@
         rng: random.Random | None = None,
         clock: Clock = boot_seconds,
     ) -> None:
-        """Send through the entries at these base URLs.
+        """Initialize with the base URLs of the entries.
 
         Raises:
-            ValueError: there is no entry.
+            ValueError: ``entries`` is empty.
         """
         if not entries:
-            raise ValueError('give at least one entry')
+            raise ValueError('at least one entry is needed')
         self._rng = rng or random.Random()
         self._entries = [
-            _Entry(url.rstrip('/'), Backoff(cap=_CLOSED_SECONDS, rng=self._rng))
+            _Entry(
+                url.rstrip('/'),
+                Backoff(cap=_MAX_BACKOFF_SECONDS, rng=self._rng),
+            )
             for url in entries
         ]
         self._clock = clock
@@ -130,8 +133,8 @@
     async def send(self, work: Work) -> Outcome:
         """Send work and return its outcome.
 
-        ``NotRun`` means that nothing of it ran or will run; ``Unknown`` that
-        it may have run, once at most if it is not idempotent.
+        ``NotRun`` means that it has not run and will not run; ``Unknown`` that
+        it may have run, at most once if it is not idempotent.
         """
         self._budget.note_fresh()
         due = self._clock() + work.deadline
@@ -141,15 +144,15 @@
 
     async def _send_idempotent(self, work: Work, due: float) -> Outcome:
         while True:
-            outcome = await self._ask(work, due, '')
+            outcome = await self._attempt(work, due, '')
             if isinstance(outcome, Reply) or not self._may_retry(outcome, due):
                 return outcome
             await self._pause(outcome, due)
 
     async def _send_once(self, work: Work, due: float) -> Outcome:
-        """Take a ticket, run it, and take a new one when it was fenced."""
+        """Run with a ticket; request a new one when the ticket was fenced."""
         while True:
-            ticket = await self._take_ticket(work, due)
+            ticket = await self._request_ticket(work, due)
             if isinstance(ticket, str):
                 outcome = await self._run_ticket(work, due, ticket)
             else:
@@ -166,19 +169,22 @@
         due: float,
         ticket: str,
     ) -> Outcome:
-        """Send one ticket until there is an answer, a refusal, or no hope.
+        """Send one ticket until its outcome is known or cannot be resolved.
 
-        A ticket may be sent again after doubt: its host runs it once. But a
-        refusal of a later copy says nothing of an earlier one that is lost.
+        A ticket may be sent again after an unknown outcome, as its host runs
+        it at most once. A refusal of a later copy doesn't prove that a lost
+        earlier copy did not run.
         """
-        outcome = await self._ask(work, due, ticket)
+        outcome = await self._attempt(work, due, ticket)
         while isinstance(outcome, Unknown):
-            if outcome.reason not in _ASK_AGAIN:
+            if outcome.reason not in _RESEND_REASONS:
                 return outcome
             if not self._may_retry(outcome, due):
                 return outcome
             await self._pause(outcome, due)
-            outcome = _settle(outcome, await self._ask(work, due, ticket))
+            outcome = _merge_outcomes(
+                outcome, await self._attempt(work, due, ticket)
+            )
         return outcome
 
     def _may_retry(self, outcome: NotRun | Unknown, due: float) -> bool:
@@ -186,14 +192,14 @@
         return self._clock() + pause < due and self._budget.take()
 
     async def _pause(self, outcome: NotRun | Unknown, due: float) -> None:
-        """Wait as told, with some jitter, but not past the deadline."""
+        """Wait as the outcome asks, with jitter, until the deadline at most."""
         pause = (outcome.retry_after or 0) + Backoff(rng=self._rng).next_pause()
         await asyncio.sleep(max(min(pause, due - self._clock()), 0))
 
-    async def _take_ticket(self, work: Work, due: float) -> str | NotRun:
+    async def _request_ticket(self, work: Work, due: float) -> str | NotRun:
         headers = {KEY_HEADER: work.key, TICKET_HEADER: _NEW_TICKET}
 
-        async def take(url: str) -> str | NotRun | Unknown:
+        async def request(url: str) -> str | NotRun | Unknown:
             target = f'{url}{work.path}'
             async with self._open().post(target, headers=headers) as answer:
                 if answer.status == _OK and TICKET_HEADER in answer.headers:
@@ -202,26 +208,26 @@
 
         try:
             async with asyncio.timeout(due - self._clock()):
-                outcome = await self._reach(take)
+                outcome = await self._call_reachable_entry(request)
         except (aiohttp.ClientError, TimeoutError, OSError):
             return NotRun(Refusal.unreachable)
-        # Whatever went wrong, nothing was asked to run yet.
+        # Requesting a ticket runs nothing, so the work has not run.
         if isinstance(outcome, Unknown):
             return NotRun(Refusal.no_host, outcome.retry_after)
         return outcome or NotRun(Refusal.unreachable)
 
-    async def _ask(self, work: Work, due: float, ticket: str) -> Outcome:
-        left = due - self._clock()
-        if left <= 0:
+    async def _attempt(self, work: Work, due: float, ticket: str) -> Outcome:
+        time_left = due - self._clock()
+        if time_left <= 0:
             return Unknown(Doubt.expired) if ticket else NotRun(Refusal.expired)
-        headers = _headers(work, left, ticket)
+        headers = _headers(work, time_left, ticket)
 
-        async def ask(url: str) -> Outcome:
+        async def attempt(url: str) -> Outcome:
             return await self._exchange(work, url, headers)
 
         try:
-            async with asyncio.timeout(left):
-                outcome = await self._reach(ask)
+            async with asyncio.timeout(time_left):
+                outcome = await self._call_reachable_entry(attempt)
         except TimeoutError:
             return Unknown(Doubt.expired)
         except (aiohttp.ClientError, OSError):
@@ -233,27 +239,31 @@
             return Unknown(Doubt.unreachable)
         return NotRun(Refusal.unreachable)
 
-    async def _reach(
+    async def _call_reachable_entry(
         self,
         call: Callable[[str], Awaitable[ResultT]],
     ) -> ResultT | None:
-        """Call with the first entry that takes a connection, if any does."""
-        for entry in self._order():
+        """Call with the first entry that accepts a connection.
+
+        Returns:
+            The result, or None if no entry is reachable.
+        """
+        for entry in self._ordered_entries():
             try:
                 result = await call(entry.url)
             except aiohttp.ClientConnectorError:
-                entry.closed_until = self._clock() + entry.backoff.next_pause()
+                entry.retry_at = self._clock() + entry.backoff.next_pause()
                 continue
             entry.backoff.reset()
-            entry.closed_until = 0
+            entry.retry_at = 0
             return result
         return None
 
-    def _order(self) -> list['_Entry']:
-        """Return the entries at random, those that were closed just now last."""
+    def _ordered_entries(self) -> list['_Entry']:
+        """Return the entries in random order, those in back-off last."""
         now = self._clock()
-        mixed = self._rng.sample(self._entries, len(self._entries))
-        return sorted(mixed, key=lambda entry: entry.closed_until > now)
+        shuffled = self._rng.sample(self._entries, len(self._entries))
+        return sorted(shuffled, key=lambda entry: entry.retry_at > now)
 
     async def _exchange(
         self,
@@ -269,8 +279,8 @@
             allow_redirects=False,
         ) as answer:
             body = await answer.read()
-            told = answer.headers.get(OUTCOME_HEADER)
-            if told == 'answered':
+            outcome_tag = answer.headers.get(OUTCOME_HEADER)
+            if outcome_tag == 'answered':
                 return Reply(answer.status, answer.headers, body)
             return _read_problem(answer, body)
 
@@ -283,24 +293,24 @@
         return self._session
 
 
-def _headers(work: Work, left: float, ticket: str) -> dict[str, str]:
+def _headers(work: Work, time_left: float, ticket: str) -> dict[str, str]:
     headers = {
         **work.headers,
         KEY_HEADER: work.key,
-        DEADLINE_HEADER: f'{left:.3f}',
+        DEADLINE_HEADER: f'{time_left:.3f}',
         IDEMPOTENT_HEADER: str(work.idempotent).lower(),
     }
     return {**headers, TICKET_HEADER: ticket} if ticket else headers
 
 
-def _settle(doubt: Unknown, latest: Outcome) -> Outcome:
-    """Return what is known of a ticket after doubt and a later outcome.
+def _merge_outcomes(earlier: Unknown, latest: Outcome) -> Outcome:
+    """Merge an unknown outcome of a ticket with that of a later copy.
 
-    Only the ticket's host can say that no copy of it ran or will run; an
-    entry that refused a copy speaks of that copy alone.
+    Only the ticket's host knows that no copy of it ran or will run; the
+    refusal of an entry is about that one copy.
     """
-    if isinstance(latest, NotRun) and latest.reason not in _SAID_BY_HOST:
-        return doubt
+    if isinstance(latest, NotRun) and latest.reason not in _HOST_REFUSALS:
+        return earlier
     return latest
 
 
@@ -308,7 +318,7 @@
     answer: aiohttp.ClientResponse,
     body: bytes,
 ) -> NotRun | Unknown:
-    """Read a problem document; what cannot be read is doubt."""
+    """Parse a problem document; an invalid one is an unknown outcome."""
     retry_after: float | None = None
     with contextlib.suppress(ValueError, KeyError):
         retry_after = float(answer.headers['Retry-After'])
--- a/siskinbank/coordination/ranking.py
+++ b/siskinbank/coordination/ranking.py
@@ -1,4 +1,4 @@
-"""Rank members for a key, the same on every machine without talking."""
+"""Rank members for a key, the same on every machine without messages."""
 
 from collections.abc import Callable, Mapping
 
@@ -8,7 +8,7 @@
 
 __all__ = ('prepare_ranking',)
 
-_NOWHERE = ('', 0)
+_NO_ADDRESS = ('', 0)
 
 
 def prepare_ranking(
@@ -17,7 +17,7 @@
 ) -> Callable[[str], list[str]]:
     """Return a function that ranks the ``count`` best members for a key.
 
-    A change of the members moves only the keys that it must; see
+    A change of the members moves as few keys as possible; see
     ``siskinbank.choice.rendezvous`` for the formula.
 
     Args:
@@ -30,7 +30,7 @@
     if min(weights.values(), default=1) <= 0:
         raise ValueError('weights must be positive')
     members = [
-        Host(name, '', _NOWHERE, weight) for name, weight in weights.items()
+        Host(name, '', _NO_ADDRESS, weight) for name, weight in weights.items()
     ]
     rank = prepare_rendezvous(members, count)
 
--- a/siskinbank/coordination/tickets.py
+++ b/siskinbank/coordination/tickets.py
@@ -1,9 +1,10 @@
-"""Tickets that let one piece of work run once, in one place, or nowhere.
+"""Tickets, under which a request runs at most once, at one host.
 
-A ticket names a host and one life of it, its incarnation. Only that life can
-check it, with a secret that it drew at its start and that nobody else knows.
-So a ticket can be sent any number of times through any entry: it runs at most
-once, and a host that was restarted knows that it cannot tell.
+A ticket names a host and one incarnation of it. Only that incarnation can
+check the ticket, with a random secret that it generated at its start and that
+no other process has. So a ticket can be sent any number of times through any
+entry: it runs at most once, and a host that was restarted reports that the
+outcome is unknown.
 """
 
 import hashlib
@@ -24,7 +25,7 @@
     'parse_ticket',
 )
 
-#: How long a ticket is good for.
+#: Validity of a ticket.
 TICKET_SECONDS = 60.0
 _MAX_TICKET_CHARACTERS = 200
 _SECRET_BYTES = 32
@@ -33,7 +34,7 @@
 _INCARNATION_BYTES = 8
 _MILLISECONDS = 1000
 _HEX = 16
-_FORM = re.compile(
+_TICKET_FORMAT = re.compile(
     'v1[.]([a-z0-9-]{1,63})[.]([0-9a-f]{16})[.]([0-9]{1,16})'
     '[.]([0-9a-f]{24})[.]([0-9a-f]{32})',
 )
@@ -41,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Ticket:
-    """What a ticket says; ``expires`` is in ms on the host's own clock."""
+    """The fields of a ticket; ``expires`` is in ms on the host's clock."""
 
     host: str
     incarnation: int
@@ -51,18 +52,18 @@
 
 
 def parse_ticket(text: str) -> Ticket | None:
-    """Read a ticket without checking that it is genuine."""
+    """Parse a ticket without checking its MAC; None if it is malformed."""
     if len(text) > _MAX_TICKET_CHARACTERS:
         return None
-    form = _FORM.fullmatch(text)
-    if form is None:
+    parsed = _TICKET_FORMAT.fullmatch(text)
+    if parsed is None:
         return None
-    host, incarnation, expires, nonce, mac = form.groups()
+    host, incarnation, expires, nonce, mac = parsed.groups()
     return Ticket(host, int(incarnation, _HEX), int(expires), nonce, mac)
 
 
 class TicketOffice:
-    """Issues and checks the tickets of one life of one host."""
+    """Issues and checks the tickets of one incarnation of a host."""
 
     def __init__(
         self,
@@ -70,19 +71,21 @@
         clock: Clock,
         draw: Callable[[int], bytes] = secrets.token_bytes,
     ) -> None:
-        """Draw a new incarnation and secret; ``draw`` gives random bytes."""
+        """Generate an incarnation and a secret with random bytes of ``draw``."""
         self._host = host
         self._clock = clock
-        self._draw = draw
+        self._random_bytes = draw
         self._secret = draw(_SECRET_BYTES)
         self.incarnation = int.from_bytes(draw(_INCARNATION_BYTES), 'big')
 
     def issue(self, service: int, key: str) -> str:
         """Return a new ticket for a request of ``service`` with ``key``."""
         expires = int((self._clock() + TICKET_SECONDS) * _MILLISECONDS)
-        nonce = self._draw(_NONCE_BYTES).hex()
-        lead = f'v1.{self._host}.{self.incarnation:016x}.{expires}.{nonce}'
-        return f'{lead}.{self._mac(lead, service, key)}'
+        nonce = self._random_bytes(_NONCE_BYTES).hex()
+        signed_part = (
+            f'v1.{self._host}.{self.incarnation:016x}.{expires}.{nonce}'
+        )
+        return f'{signed_part}.{self._mac(signed_part, service, key)}'
 
     def check(self, text: str, service: int, key: str) -> Doubt | None:
         """Return why a ticket cannot be run, or None if it may be."""
@@ -91,17 +94,17 @@
             return Doubt.bad_ticket
         if ticket.incarnation != self.incarnation:
             return Doubt.restarted
-        lead = text.rpartition('.')[0]
-        wanted = self._mac(lead, service, key)
-        if not hmac.compare_digest(wanted, ticket.mac):
+        signed_part = text.rpartition('.')[0]
+        expected_mac = self._mac(signed_part, service, key)
+        if not hmac.compare_digest(expected_mac, ticket.mac):
             return Doubt.bad_ticket
         if self._clock() * _MILLISECONDS >= ticket.expires:
             return Doubt.old_ticket
         return None
 
-    def _mac(self, lead: str, service: int, key: str) -> str:
+    def _mac(self, signed_part: str, service: int, key: str) -> str:
         digest = hashlib.blake2b(
-            f'{lead}.{service}.{key}'.encode(),
+            f'{signed_part}.{service}.{key}'.encode(),
             key=self._secret,
             digest_size=_MAC_BYTES,
         )
@@ -109,20 +112,20 @@
 
 
 class OnceRegister:
-    """Remembers what was claimed, for a lifetime and up to a capacity.
+    """Records claimed names for a lifetime, up to a capacity.
 
-    It never forgets early: when it is full it refuses new claims.
+    It never evicts a claim early: when it is full it refuses new claims.
     """
 
     def __init__(self, clock: Clock, lifetime: float, capacity: int) -> None:
-        """Remember each claim for ``lifetime`` seconds."""
+        """Create an empty register; a claim lasts ``lifetime`` seconds."""
         self._clock = clock
         self._lifetime = lifetime
         self._capacity = capacity
         self._claims: dict[str, float] = {}
 
     def __contains__(self, name: str) -> bool:
-        """Whether a name is claimed."""
+        """Return whether a name is claimed."""
         self._expire()
         return name in self._claims
 
@@ -132,19 +135,19 @@
 
     @property
     def full(self) -> bool:
-        """Whether no further claim can be remembered."""
+        """Whether the capacity is reached."""
         self._expire()
         return len(self._claims) >= self._capacity
 
     def claim(self, name: str) -> bool:
-        """Claim a name; False if it is claimed already or there is no room."""
+        """Claim a name; return False if it is claimed or there is no room."""
         if name in self or self.full:
             return False
         self._claims[name] = self._clock() + self._lifetime
         return True
 
     def release(self, name: str) -> None:
-        """Take back a claim under which nothing was done."""
+        """Remove a claim under which nothing was run."""
         self._claims.pop(name, None)
 
     def _expire(self) -> None:
--- a/siskinbank/entry/__init__.py
+++ b/siskinbank/entry/__init__.py
@@ -1,1 +1,1 @@
-"""The entry: takes packets, connections and requests and hands them on."""
+"""The entry: forwards packets, connections and requests to the hosts."""
--- a/siskinbank/entry/cache.py
+++ b/siskinbank/entry/cache.py
@@ -1,4 +1,4 @@
-"""A bounded soft cache of routes to flow owners, safe to lose."""
+"""A bounded cache of routes to flow owners; losing it is harmless."""
 
 from dataclasses import dataclass
 
@@ -9,9 +9,9 @@
 
 @dataclass(slots=True)
 class Receiver:
-    """A sidecar that packets may go to, shared by all routes to it.
+    """A sidecar that packets may be sent to, shared by all routes to it.
 
-    ``generation`` is the newest one in which it said that it owns a flow.
+    ``generation`` is the newest one in which it announced to be an owner.
     """
 
     packed: bytes
@@ -22,52 +22,52 @@
 
 @dataclass(slots=True)
 class Route:
-    """Where flows of one owner live, with their envelope head packed."""
+    """The owner of flows and the packed envelope head for their packets."""
 
     receiver: Receiver
     head: bytes
 
 
 class RouteCache:
-    """Remembers the routes of recently seen flows.
+    """Caches the routes of recently seen flows.
 
-    Two halves take turns: a full young half becomes the old one, and what the
-    old half held without being used again is forgotten.
+    The cache has two halves. When the recent half is full it replaces the
+    older half, which evicts all entries not used since the last replacement.
     """
 
     def __init__(self, size: int) -> None:
-        """Remember at most ``size`` flows."""
+        """Create a cache for at most ``size`` flows."""
         self._half = max(size // 2, 1)
-        self._young: dict[bytes, Route] = {}
-        self._old: dict[bytes, Route] = {}
+        self._recent: dict[bytes, Route] = {}
+        self._older: dict[bytes, Route] = {}
 
     def __len__(self) -> int:
-        """Return the number of flows that are remembered."""
-        return len(self._young) + len(self._old)
+        """Return the number of cached flows."""
+        return len(self._recent) + len(self._older)
 
     def get(self, flow: bytes) -> Route | None:
-        """Return the route of a flow."""
-        route = self._young.get(flow)
-        if route is None and self._old:
-            route = self._old.pop(flow, None)
+        """Return the route of a flow, or None."""
+        route = self._recent.get(flow)
+        if route is None and self._older:
+            route = self._older.pop(flow, None)
             if route is not None:
                 self.put(flow, route)
         return route
 
     def put(self, flow: bytes, route: Route) -> None:
-        """Remember a route."""
-        self._old.pop(flow, None)
-        self._young[flow] = route
-        if len(self._young) >= self._half:
-            self._old = self._young
-            self._young = {}
-
-    def forget(self, flow: bytes) -> None:
-        """Forget a flow."""
-        self._young.pop(flow, None)
-        self._old.pop(flow, None)
+        """Add or replace the route of a flow."""
+        self._older.pop(flow, None)
+        self._recent[flow] = route
+        if len(self._recent) >= self._half:
+            self._older = self._recent
+            self._recent = {}
+
+    def remove(self, flow: bytes) -> None:
+        """Remove a flow."""
+        self._recent.pop(flow, None)
+        self._older.pop(flow, None)
 
     def clear(self) -> None:
-        """Forget all flows."""
-        self._young.clear()
-        self._old.clear()
+        """Remove all flows."""
+        self._recent.clear()
+        self._older.clear()
--- a/siskinbank/entry/calls.py
+++ b/siskinbank/entry/calls.py
@@ -1,4 +1,4 @@
-"""A caller's request, checked, and its body kept for another try."""
+"""Validated requests of callers, and their bodies buffered for retries."""
 
 import re
 from collections.abc import Callable
@@ -26,11 +26,11 @@
 DEFAULT_DEADLINE_SECONDS = 30.0
 _MAX_DEADLINE_SECONDS = 3600.0
 _MAX_KEY_CHARACTERS = 255
-_REPLAY_BYTES = 256 * 1024
+_MAX_REPLAY_BYTES = 256 * 1024
 _IDEMPOTENT_METHODS = frozenset(
     ('GET', 'HEAD', 'OPTIONS', 'PUT', 'DELETE', 'TRACE'),
 )
-_TRUTHS = {'': None, 'true': True, '?1': True, 'false': False, '?0': False}
+_BOOLEANS = {'': None, 'true': True, '?1': True, 'false': False, '?0': False}
 _SECONDS = re.compile('[0-9]{1,6}([.][0-9]{1,6})?')
 _KEY = re.compile('[\x21-\x7e]+')
 _TICKET = re.compile('[0-9A-Za-z.-]+')
@@ -38,46 +38,49 @@
 
 
 class BodySource:
-    """The caller's body, read once; its start is kept for another try."""
+    """A request body that is read once; its start is buffered for retries."""
 
     def __init__(self, request: web.BaseRequest) -> None:
-        """Read the body of ``request`` when it is wanted."""
+        """Initialize; the body of ``request`` is read on demand."""
         self._request = request
-        self._kept: list[bytes] = []
+        self._parts: list[bytes] = []
         self._size = 0
-        self._whole = not request.body_exists
-        self._asked = False
+        self._complete = not request.body_exists
+        self._started = False
 
     @property
     def replayable(self) -> bool:
-        """Whether all that was read so far is still kept."""
-        return self._size <= _REPLAY_BYTES
+        """Whether everything read so far is still buffered."""
+        return self._size <= _MAX_REPLAY_BYTES
 
     async def read_start(self) -> None:
-        """Read a small body whole, before a host is kept busy with it."""
-        while not self._whole and self._size < START_BYTES:
+        """Read the start of the body before a host gets the request.
+
+        A small body is read whole, so that reading it occupies no host.
+        """
+        while not self._complete and self._size < START_BYTES:
             await self._read_more()
 
-    async def parts(self, position: int) -> bytes:
-        """Return the kept part at ``position``, or read it."""
-        if position < len(self._kept):
-            return self._kept[position]
-        if self._whole:
+    async def part_at(self, position: int) -> bytes:
+        """Return the buffered chunk at ``position``, or read the next one."""
+        if position < len(self._parts):
+            return self._parts[position]
+        if self._complete:
             return b''
         return await self._read_more()
 
     async def _read_more(self) -> bytes:
-        if not self._asked:
-            self._asked = True
-            await self._ask_for_body()
+        if not self._started:
+            self._started = True
+            await self._send_continue()
         chunk = await self._request.content.read(CHUNK_BYTES)
-        self._whole = not chunk
+        self._complete = not chunk
         self._size += len(chunk)
         if self.replayable and chunk:
-            self._kept.append(chunk)
+            self._parts.append(chunk)
         return chunk
 
-    async def _ask_for_body(self) -> None:
+    async def _send_continue(self) -> None:
         request = self._request
         if request.headers.get('Expect', '').lower() == '100-continue':
             await request.writer.write(_CONTINUE)
@@ -88,7 +91,8 @@
 class Call:
     """One caller's request and how it may be run; times are in seconds.
 
-    ``length`` is the body's size in bytes, -1 when the caller did not say it.
+    ``length`` is the body's size in bytes, -1 if the caller did not declare
+    it.
     """
 
     request: web.BaseRequest
@@ -110,8 +114,8 @@
         """Seconds until the deadline."""
         return self.due - self.clock()
 
-    def cut(self) -> None:
-        """Close the caller's connection, so that a cut answer looks cut."""
+    def abort_connection(self) -> None:
+        """Abort the caller's connection, so that a cut answer looks cut."""
         if self.request.transport is not None:
             self.request.transport.abort()
 
@@ -122,24 +126,27 @@
     clock: Clock,
     closing: Callable[[], bool],
 ) -> Call | NotRun:
-    """Check a request; a refusal says what kind of fault it has.
+    """Validate a request; return a refusal with the reason if it is invalid.
 
     Args:
-        request: what the caller sent.
+        request: the caller's request.
         service: the service that it is for.
         clock: the process's clock in seconds.
-        closing: whether the caller's connection is to be closed after it.
+        closing: returns whether to close the caller's connection after the
+            answer.
     """
     headers = forwarded_headers(request.headers)
     if header_problem(headers):
         return NotRun(Refusal.too_large)
     if target_problem(request.method, request.path_qs):
         return NotRun(Refusal.malformed)
-    deadline = _single(request, DEADLINE_HEADER)
-    idempotent = _TRUTHS.get(_single(request, IDEMPOTENT_HEADER).lower(), '')
-    key = _single(request, KEY_HEADER)
-    ticket = _single(request, TICKET_HEADER)
-    if idempotent == '' or not _are_good(deadline, key, ticket):
+    deadline = _header_text(request, DEADLINE_HEADER)
+    idempotent = _BOOLEANS.get(
+        _header_text(request, IDEMPOTENT_HEADER).lower(), ''
+    )
+    key = _header_text(request, KEY_HEADER)
+    ticket = _header_text(request, TICKET_HEADER)
+    if idempotent == '' or not _are_valid(deadline, key, ticket):
         return NotRun(Refusal.malformed)
     if idempotent is None:
         idempotent = request.method in _IDEMPOTENT_METHODS and not ticket
@@ -156,24 +163,27 @@
         clock,
         BodySource(request),
         headers,
-        _length(request),
+        _body_length(request),
         closing,
     )
 
 
-def _length(request: web.BaseRequest) -> int:
+def _body_length(request: web.BaseRequest) -> int:
     if not request.body_exists:
         return 0
     declared = request.content_length
     return -1 if declared is None else declared
 
 
-def _single(request: web.BaseRequest, name: str) -> str:
-    """Return a header's text; a space makes a doubled one malformed."""
+def _header_text(request: web.BaseRequest, name: str) -> str:
+    """Return a header's text.
+
+    Repeated headers are joined by a space, which makes them malformed.
+    """
     return ' '.join(request.headers.getall(name, ())).strip()
 
 
-def _are_good(deadline: str, key: str, ticket: str) -> bool:
+def _are_valid(deadline: str, key: str, ticket: str) -> bool:
     if deadline and not _SECONDS.fullmatch(deadline):
         return False
     if key and (len(key) > _MAX_KEY_CHARACTERS or not _KEY.fullmatch(key)):
--- a/siskinbank/entry/context.py
+++ b/siskinbank/entry/context.py
@@ -1,4 +1,4 @@
-"""What the ingress plug-ins of one entry share."""
+"""Objects shared by the ingress plug-ins of one entry."""
 
 from dataclasses import dataclass
 
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EntryContext:
-    """One entry's settings and shared parts."""
+    """Settings and shared objects of one entry."""
 
     process: ProcessContext
     settings: EntrySettings
@@ -23,4 +23,4 @@
     router: Router
     peers: PeerSocket
     links: RequestLinks
-    homes: KeyHomes
+    primary_hosts: KeyHomes
--- a/siskinbank/entry/daemon.py
+++ b/siskinbank/entry/daemon.py
@@ -1,4 +1,4 @@
-"""Start an entry: view, peer socket, and the ingress of each service."""
+"""Start an entry: view, peer socket and the ingresses of all services."""
 
 import asyncio
 
@@ -35,33 +35,33 @@
         RequestLinks(process, PeerStreams(process, settings.keys)),
         KeyHomes(node.view),
     )
-    opener = _Opener(context)
-    node.view.subscribe(opener.wake)
+    opener = _IngressOpener(context)
+    node.view.subscribe(opener.schedule_update)
     process.on_drain(opener.drain)
     process.start_task(opener.run())
 
 
-class _Opener:
-    """Opens and closes ingresses as the configuration names them."""
+class _IngressOpener:
+    """Opens and closes ingresses when the configuration changes."""
 
     def __init__(self, context: EntryContext) -> None:
         self._context = context
         self._changed = asyncio.Event()
         self._open: dict[tuple[str, str, int], IngressHandle] = {}
 
-    def wake(self) -> None:
-        """Look at the configuration again."""
+    def schedule_update(self) -> None:
+        """Schedule an update after a change of the configuration."""
         self._changed.set()
 
     async def run(self) -> None:
-        """Follow the configuration until cancelled."""
+        """Apply changes of the configuration until cancelled."""
         while True:
             await self._changed.wait()
             self._changed.clear()
             await self._update()
 
     async def drain(self) -> None:
-        """Stop taking work and wait until open work has ended."""
+        """Stop accepting work and wait until open work has ended."""
         handles = list(self._open.values())
         await asyncio.gather(*(handle.drain() for handle in handles))
 
@@ -74,8 +74,8 @@
             for service in site.services.values()
             for endpoint in service.endpoints
         }
-        for gone in self._open.keys() - wanted.keys():
-            handle = self._open.pop(gone)
+        for removed in self._open.keys() - wanted.keys():
+            handle = self._open.pop(removed)
             self._context.process.start_task(handle.drain())
         for key in wanted.keys() - self._open.keys():
             await self._start(key)
--- a/siskinbank/entry/exchanges.py
+++ b/siskinbank/entry/exchanges.py
@@ -1,4 +1,4 @@
-"""One attempt: send a request over a link and bring the answer back."""
+"""One attempt: send a request over a link and forward the answer."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -22,24 +22,27 @@
 
 Result = Answered | NotRun | Unknown
 
-_QUIET_SECONDS = 1.0
+_PING_AFTER_SECONDS = 1.0
 _MIN_STATUS = 200
 _MAX_STATUS = 599
 
 
 async def run_exchange(call: Call, link: RequestLink) -> Result:
-    """Run one attempt; an answer has been sent to the caller already."""
+    """Run one attempt.
+
+    An answer has been sent to the caller when this returns.
+    """
     exchange = link.open()
-    # Numbers must reach the sidecar in order: no other task runs in between.
-    exchange.post(_head(exchange.number, call, link))
-    sender = asyncio.create_task(_send(exchange, call))
+    # Numbers must reach the sidecar in order, so no await may come between.
+    exchange.post(_request_head(exchange.number, call, link))
+    sender = asyncio.create_task(_send_request_body(exchange, call))
     finished = False
     try:
         reply = await _wait_for_reply(exchange, call, link)
         if not isinstance(reply, AnswerHead):
             finished = isinstance(reply, NotRun)
             return reply
-        finished = await _pass_answer(exchange, call, reply)
+        finished = await _forward_answer(exchange, call, reply)
         return Answered(reply.status)
     except LinkLostError:
         return Unknown(Doubt.lost)
@@ -50,14 +53,14 @@
         exchange.close(finished=finished)
 
 
-def _head(number: int, call: Call, link: RequestLink) -> RequestHead:
+def _request_head(number: int, call: Call, link: RequestLink) -> RequestHead:
     return RequestHead(
         number,
         call.service.ident,
         call.key,
         call.ticket,
         call.idempotent,
-        link.to_remote(call.due),
+        link.to_remote_time(call.due),
         call.bounded,
         call.request.method,
         call.request.path_qs,
@@ -66,30 +69,30 @@
     )
 
 
-async def _send(exchange: Exchange, call: Call) -> None:
+async def _send_request_body(exchange: Exchange, call: Call) -> None:
     """Send the body, if there is one."""
     if not call.length:
         return
     try:
         await send_body(
             exchange.number,
-            _reader(call),
+            _body_reader(call),
             exchange.send,
             exchange.window,
         )
     except LinkLostError as error:
-        exchange.lose(error)
+        exchange.fail(error)
     except (OSError, web.RequestPayloadError) as error:
-        # The caller's own body was cut: the upstream must not take it whole.
-        exchange.lose(LinkLostError(str(error)))
+        # The caller's body was cut: the upstream must not see it as whole.
+        exchange.fail(LinkLostError(str(error)))
 
 
-def _reader(call: Call) -> Callable[[], Awaitable[bytes]]:
+def _body_reader(call: Call) -> Callable[[], Awaitable[bytes]]:
     position = 0
 
     async def read() -> bytes:
         nonlocal position
-        part = await call.body.parts(position)
+        part = await call.body.part_at(position)
         position += 1
         return part
 
@@ -103,34 +106,35 @@
 ) -> AnswerHead | NotRun | Unknown:
     async with asyncio.timeout(call.remaining):
         if call.idempotent:
-            await _watch(exchange, link)
+            await _wait_while_alive(exchange, link)
         reply = await exchange.reply
     if isinstance(reply, Refused):
         return _refusal(reply)
     if isinstance(reply, Failed):
         return _failure(reply)
-    if not isinstance(reply, AnswerHead) or _is_bad(reply):
+    if not isinstance(reply, AnswerHead) or _is_malformed(reply):
         return Unknown(Doubt.malformed)
     return reply
 
 
-async def _watch(exchange: Exchange, link: RequestLink) -> None:
-    """Wait for the reply while the sidecar lives.
+async def _wait_while_alive(exchange: Exchange, link: RequestLink) -> None:
+    """Wait for the reply while the sidecar answers pings.
 
-    Work that may run again need not wait for a sidecar that is suspended.
+    Idempotent work can be retried elsewhere, so it need not wait for a
+    suspended sidecar.
 
     Raises:
-        LinkLostError: the sidecar is silent.
+        LinkLostError: the sidecar is unresponsive.
     """
     while True:
-        await asyncio.wait((exchange.reply,), timeout=_QUIET_SECONDS)
+        await asyncio.wait((exchange.reply,), timeout=_PING_AFTER_SECONDS)
         if exchange.reply.done():
             return
         if not await link.is_alive() and not exchange.reply.done():
             raise LinkLostError('the sidecar is silent')
 
 
-def _is_bad(reply: AnswerHead) -> bool:
+def _is_malformed(reply: AnswerHead) -> bool:
     good_status = _MIN_STATUS <= reply.status <= _MAX_STATUS
     return not good_status or header_problem(reply.headers) is not None
 
@@ -151,14 +155,15 @@
     return Unknown(reason, reply.retry_after or None)
 
 
-async def _pass_answer(
+async def _forward_answer(
     exchange: Exchange,
     call: Call,
     head: AnswerHead,
 ) -> bool:
-    """Send the answer on; return whether it came whole.
+    """Forward the answer to the caller; return whether it is complete.
 
-    A cut answer aborts the caller's connection, so that it never looks whole.
+    A cut answer aborts the caller's connection, so that it never looks
+    complete.
     """
     response = web.StreamResponse(status=head.status)
     call.response = response
@@ -169,18 +174,18 @@
         response.content_length = head.length
     if call.closing():
         response.force_close()
-    left = call.remaining if call.bounded else None
+    time_left = call.remaining if call.bounded else None
     try:
-        async with asyncio.timeout(left):
+        async with asyncio.timeout(time_left):
             await response.prepare(call.request)
-            await _pass_body(exchange, response, head)
+            await _forward_body(exchange, response, head)
     except (BodyCutError, TimeoutError, OSError):
-        call.cut()
+        call.abort_connection()
         return False
     return True
 
 
-async def _pass_body(
+async def _forward_body(
     exchange: Exchange,
     response: web.StreamResponse,
     head: AnswerHead,
@@ -190,5 +195,5 @@
         size += len(part)
         await response.write(part)
     if size and head.length not in {size, -1}:
-        raise BodyCutError(f'{size} of {head.length} bytes')
+        raise BodyCutError(f'received {size} of {head.length} bytes')
     await response.write_eof()
--- a/siskinbank/entry/flow_cache.py
+++ b/siskinbank/entry/flow_cache.py
@@ -1,8 +1,8 @@
-"""Where flows live, as far as one entry remembers; safe to lose.
+"""Cache of the hosts of flows at one entry; losing it is harmless.
 
-Load pattern: routers move the flows of an entry that died to the others, so a
-packet may come of a flow never seen here; the cache holds what was learnt, and
-nothing that cannot be asked again.
+Load pattern: routers move the flows of an entry that died to the other
+entries, so a packet may belong to a flow that this entry has never seen. The
+cache holds only what the entry can ask the sidecars for again.
 """
 
 from __future__ import annotations
@@ -10,119 +10,125 @@
 __all__ = ('CachedFlow', 'FlowCache')
 
 _SEQUENCE_NUMBERS = 1 << 32
-# Flows remembered; beyond that the oldest go.
-_MOST_FLOWS = 65536
-# A flow silent for longer than this is forgotten, in seconds: hosts discard
-# flows that are idle for 15 s.
-_IDLE_S = 20.0
+# When the cache is full, the oldest flow is evicted.
+_MAX_FLOWS = 65536
+# A flow idle for longer than this is removed, in seconds: hosts discard flows
+# that are idle for 15 s.
+_IDLE_TIMEOUT_S = 20.0
 
 
 class CachedFlow:
-    """A flow and the host that takes its packets.
+    """A flow and the host that gets its packets.
 
     Attributes:
-        ip: the host.
-        held: the host's sidecar has said that the host holds the flow; until
-            then ``ip`` is only where its first packet went.
-        kept_at: the host whose sidecar keeps the first packet until a slot is
-            free, empty without one.
-        seen: time of the last packet.
-        tried: hosts that its first packet went to.
+        ip: the host's address.
+        confirmed: whether a sidecar has confirmed that its host holds the
+            flow; until then ``ip`` is only where the first packet was sent.
+        queued_at: the host whose sidecar queues the first packet until a slot
+            is free, empty if none does.
+        last_seen: time of the last packet, in seconds.
+        tried: hosts that the first packet was sent to.
     """
 
-    __slots__ = ('_claims', 'held', 'ip', 'kept_at', 'seen', 'tried')
+    __slots__ = ('_holders', 'held', 'ip', 'kept_at', 'seen', 'tried')
 
     def __init__(self, ip: str, seen: float) -> None:
-        """Begin with a host that may take the flow."""
+        """Initialize with the host that the first packet is sent to."""
         self.ip = ip
         self.held = False
         self.kept_at = ''
         self.seen = seen
         self.tried: tuple[str, ...] = (ip,)
-        self._claims: dict[str, tuple[bool, int]] = {}
+        self._holders: dict[str, tuple[bool, int]] = {}
 
     @property
     def contested(self) -> bool:
         """Whether several hosts hold the flow, open or half open."""
-        return len(self._claims) > 1
+        return len(self._holders) > 1
 
     def try_at(self, ip: str) -> None:
-        """Note that the first packet goes to another host."""
+        """Record that the first packet is sent to another host."""
         self.ip = ip
         self.tried = (*self.tried, ip)
 
     def hold(self, ip: str, number: int, established: bool) -> None:
-        """Note a sidecar's word that its host holds the flow.
+        """Record that a sidecar reports its host to hold the flow.
 
         Args:
             ip: the host.
-            number: its first sequence number, 0 if that is not known.
-            established: the host has worked on the flow.
+            number: its initial sequence number, 0 if unknown.
+            established: whether the host has worked on the flow.
         """
-        if not self._claims or established:
+        if not self._holders or established:
             self.ip = ip
         self.held = True
-        self._claims[ip] = (established, number)
+        self._holders[ip] = (established, number)
 
     def settle(self, acknowledged: int) -> None:
-        """Of several hosts, keep the one that the client chose.
+        """Select the host that the client is connected to.
 
-        Load pattern: a first packet and its copy were taken by two hosts, as
-        the first one was slow; one of them waits for a client in vain.
+        Load pattern: a first packet and its retransmission were accepted by
+        two hosts, as the first host was slow. The client completes the
+        handshake with only one of them.
 
         Args:
-            acknowledged: what the client's packet acknowledges; it lies just
-                above the first number of the host that the client chose.
+            acknowledged: the acknowledgement number of a client's packet; it
+                lies just above the initial sequence number of the host that
+                the client is connected to.
         """
-        claims = self._claims
-        worked = [ip for ip in claims if claims[ip][0]]
-        if len(worked) == 1:
-            self.ip = worked[0]
+        holders = self._holders
+        established = [ip for ip in holders if holders[ip][0]]
+        if len(established) == 1:
+            self.ip = established[0]
         else:
             self.ip = min(
-                worked or claims,
-                key=lambda ip: _ahead(acknowledged, claims[ip][1]),
+                established or holders,
+                key=lambda ip: _sequence_distance(acknowledged, holders[ip][1]),
             )
-        self._claims = {self.ip: claims[self.ip]}
+        self._holders = {self.ip: holders[self.ip]}
 
 
-def _ahead(acknowledged: int, number: int) -> int:
-    """Return how far a number is behind; an unknown one is the farthest."""
+def _sequence_distance(acknowledged: int, number: int) -> int:
+    """Return the distance from a sequence number to an acknowledgement.
+
+    An unknown sequence number (0) has the largest distance.
+    """
     if not number:
         return _SEQUENCE_NUMBERS
     return (acknowledged - number) % _SEQUENCE_NUMBERS
 
 
 class FlowCache:
-    """The flows of one entry, by key."""
+    """The flows of one entry, by flow key."""
 
     __slots__ = ('_flows', 'get')
 
     def __init__(self) -> None:
-        """Start empty."""
+        """Create an empty cache."""
         self._flows: dict[bytes, CachedFlow] = {}
-        #: The flow of a key, or None; bound once, as each packet asks.
+        #: Returns the flow of a key, or None. Bound once, as it is called for
+        #: each packet.
         self.get = self._flows.get
 
     def __len__(self) -> int:
-        """Count the flows."""
+        """Return the number of flows."""
         return len(self._flows)
 
     def add(self, key: bytes, ip: str, now: float) -> CachedFlow:
-        """Remember a new flow."""
-        if len(self._flows) >= _MOST_FLOWS:
+        """Add a new flow; evict the oldest one if the cache is full."""
+        if len(self._flows) >= _MAX_FLOWS:
             self._flows.pop(next(iter(self._flows)))
         flow = CachedFlow(ip, now)
         self._flows[key] = flow
         return flow
 
     def drop(self, key: bytes) -> None:
-        """Forget a flow."""
+        """Remove a flow."""
         self._flows.pop(key, None)
 
     def sweep(self, now: float) -> None:
-        """Forget idle flows."""
-        edge = now - _IDLE_S
-        idle = [key for key, flow in self._flows.items() if flow.seen < edge]
+        """Remove idle flows."""
+        oldest = now - _IDLE_TIMEOUT_S
+        idle = [key for key, flow in self._flows.items() if flow.seen < oldest]
         for key in idle:
             self._flows.pop(key)
--- a/siskinbank/entry/flow_searches.py
+++ b/siskinbank/entry/flow_searches.py
@@ -1,92 +1,107 @@
-"""Searches for the hosts of flows that an entry does not know."""
+"""Searches for the hosts of flows that an entry doesn't know."""
 
 from __future__ import annotations
 
 __all__ = ('ASK_AGAIN_S', 'Search', 'Searches', 'may_still_answer')
 
-# Hosts that have not answered are asked again after this, in seconds: many
-# ways there and back, and less than a client's first retransmission.
+# Interval in seconds at which hosts that have not answered are asked again:
+# many round trips, and less than a client's first retransmission timeout.
 ASK_AGAIN_S = 0.09
-# Pause before a host is asked again, in seconds.
-_PAUSE_S = 0.3
-# How long a search may take, in seconds: a sidecar that was killed is back
-# within it. Later packets of the flow start another one.
-_LONGEST_S = 1.2
-# Packets kept for one flow meanwhile: as many as an end has under way.
-_MOST_WAITING = 16
-# Searches at once; beyond that packets are dropped and come again.
-_MOST_SEARCHES = 512
-
-# A sidecar silent for longer than this is not waited for, in seconds: three
-# of its words missed. A request that may run only once waits longer, as its
-# answer may be ready: as long as a killed sidecar takes to be back.
+# Minimum pause in seconds before the same host is asked again.
+_MIN_REPEAT_PAUSE_S = 0.3
+# Time limit of a search, in seconds: a sidecar that was killed has restarted
+# within it. Later packets of the flow start a new search.
+_MAX_SEARCH_S = 1.2
+# Packets queued for one flow during its search: as many as one end of a
+# connection has in flight.
+_MAX_QUEUED_PACKETS = 16
+# Concurrent searches; beyond that packets are dropped and the clients
+# retransmit them.
+_MAX_SEARCHES = 512
+
+# A search doesn't wait for a sidecar that has been silent for longer than
+# this, in seconds: three missed status updates. A request that may run only
+# once waits longer, as its answer may be ready: as long as a killed sidecar
+# takes to restart.
 _SILENT_REPEATABLE_S = 1.3
 _SILENT_ONCE_S = 3.0
-# Words missed after which a sidecar that speaks more seldom counts as silent.
-_MISSED_WORDS = 3
+# Missed status updates after which a sidecar with a longer interval counts as
+# silent.
+_MISSED_UPDATES = 3
 
 
 class Search:
-    """One flow whose host is looked for.
+    """The search for the host of one flow.
 
-    Load pattern: all processes lost power; clients repeat packets of flows
-    that no host holds any more, ever more seldom, while sidecars come back one
-    by one. A client that hears soon that its flow is gone opens another one
-    before its deadline.
+    Load pattern: all processes lost power. Clients retransmit packets of flows
+    that no host holds any more, at growing intervals, while the sidecars
+    restart one by one. A client that is soon told that its flow is gone can
+    open another one before its deadline.
 
     Attributes:
-        began: when.
-        first: the packet that goes to the hosts.
-        absent: the hosts that do not hold the flow.
-        waiting: the flow's packets since.
+        started_at: start time in seconds.
+        first: the packet that is sent to the hosts.
+        absent: the hosts that don't hold the flow.
+        queued_packets: packets of the flow queued since the start.
     """
 
-    __slots__ = ('_asked', '_missing', 'absent', 'began', 'first', 'waiting')
-
-    def __init__(self, began: float, first: bytes) -> None:
-        """Begin with no answers."""
-        self.began = began
+    __slots__ = (
+        '_asked_at',
+        '_outstanding',
+        'absent',
+        'first',
+        'started_at',
+        'waiting',
+    )
+
+    def __init__(self, started_at: float, first: bytes) -> None:
+        """Create a search that has asked no host yet."""
+        self.started_at = started_at
         self.first = first
         self.absent: set[str] = set()
         self.waiting: list[bytes] = []
-        self._asked: dict[str, float] = {}
-        self._missing: set[str] = set()
+        self._asked_at: dict[str, float] = {}
+        self._outstanding: set[str] = set()
 
-    def to_ask(self, heard: dict[str, float], now: float) -> list[str]:
-        """Return the hosts to ask now; they count as asked.
+    def to_ask(self, last_received: dict[str, float], now: float) -> list[str]:
+        """Return the hosts to ask now and mark them as asked.
 
-        Load pattern: hundreds of searches at once, while dozens of hosts are
-        dead. A host is asked again only when its sidecar has spoken since it
-        was asked: it came back, or a datagram was lost.
+        Load pattern: hundreds of concurrent searches while dozens of hosts are
+        dead. A host is asked again only if its sidecar has sent something
+        since the last question: it restarted, or a datagram was lost.
 
         Args:
-            heard: when the sidecar of each host spoke last.
+            last_received: time of the last message from the sidecar of each
+                host.
             now: time on the same clock.
         """
         hosts = [
             ip
-            for ip in self.unanswered(list(heard))
-            if heard[ip] > self._asked.get(ip, heard[ip] - 1)
-            and now - self._asked.get(ip, 0) > _PAUSE_S
+            for ip in self.unanswered(list(last_received))
+            if last_received[ip] > self._asked_at.get(ip, last_received[ip] - 1)
+            and now - self._asked_at.get(ip, 0) > _MIN_REPEAT_PAUSE_S
         ]
         for ip in hosts:
-            self._asked[ip] = now
-        self._missing.update(hosts)
+            self._asked_at[ip] = now
+        self._outstanding.update(hosts)
         return hosts
 
     def note_absent(self, ip: str) -> bool:
-        """Note that a host does not hold the flow; say if it was the last.
+        """Record that a host doesn't hold the flow.
 
         Load pattern: hundreds of searches at dozens of hosts, on entries with
-        a sixth of a core; an answer must not cost a look at all hosts.
+        a sixth of a core; handling an answer must not iterate over all hosts.
+
+        Returns:
+            Whether no answer is outstanding any more.
         """
         self.absent.add(ip)
-        self._missing.discard(ip)
-        return not self._missing
+        self._outstanding.discard(ip)
+        return not self._outstanding
 
     def keep(self, packet: bytes) -> None:
-        """Keep a packet until the host is found."""
-        if packet != self.first and len(self.waiting) < _MOST_WAITING:
+        """Queue a packet until the host is found."""
+        if packet != self.first and len(self.waiting) < _MAX_QUEUED_PACKETS:
             self.waiting.append(packet)
 
     def unanswered(self, hosts: list[str]) -> list[str]:
@@ -95,21 +110,21 @@
 
 
 class Searches:
-    """All searches of one entry, by flow key."""
+    """The searches of one entry, by flow key."""
 
     __slots__ = ('_searches',)
 
     def __init__(self) -> None:
-        """Start with none."""
+        """Create an empty collection."""
         self._searches: dict[bytes, Search] = {}
 
     @property
     def full(self) -> bool:
-        """Whether no more searches may begin now."""
-        return len(self._searches) >= _MOST_SEARCHES
+        """Whether the limit of concurrent searches is reached."""
+        return len(self._searches) >= _MAX_SEARCHES
 
     def get(self, key: bytes) -> Search | None:
-        """Return the search for a flow."""
+        """Return the search for a flow, or None."""
         return self._searches.get(key)
 
     def begin(self, key: bytes, search: Search) -> None:
@@ -117,39 +132,39 @@
         self._searches[key] = search
 
     def end(self, key: bytes) -> Search | None:
-        """Take a search out."""
+        """Remove and return the search for a flow, or None."""
         return self._searches.pop(key, None)
 
     def going_on(self, now: float) -> list[tuple[bytes, Search]]:
-        """Return the searches that have asked all hosts some time ago."""
-        edge = now - ASK_AGAIN_S / 2
+        """Return the searches that are old enough to ask hosts again."""
+        latest_start = now - ASK_AGAIN_S / 2
         return [
             (key, search)
             for key, search in self._searches.items()
-            if search.began < edge
+            if search.started_at < latest_start
         ]
 
     def is_overdue(self, search: Search, now: float) -> bool:
-        """Say whether a search has found nothing in time."""
-        return now - search.began > _LONGEST_S
+        """Return whether a search has exceeded its time limit."""
+        return now - search.started_at > _MAX_SEARCH_S
 
 
 def may_still_answer(
     silent_s: float,
     repeatable: bool,
-    pause_s: float,
+    interval_s: float,
 ) -> bool:
-    """Say whether a search waits for a host that has not answered.
+    """Return whether a search waits for a host that has not answered.
 
-    Load pattern: after a loss of power the store still names hosts that never
-    come back. Each would hold up the searches for all flows that were lost,
-    until their clients' deadlines have passed.
+    Load pattern: after a loss of power the store still lists hosts that never
+    return. Each would delay the searches for all lost flows beyond their
+    clients' deadlines.
 
     Args:
-        silent_s: how long its sidecar has said nothing.
+        silent_s: seconds since the last message from the host's sidecar.
         repeatable: whether the flow's requests may run more than once.
-        pause_s: the usual pause between its words; it speaks to each of many
-            entries more seldom.
+        interval_s: the sidecar's usual interval between status updates in
+            seconds; it is longer with many entries.
     """
-    longest = _SILENT_REPEATABLE_S if repeatable else _SILENT_ONCE_S
-    return silent_s < max(longest, pause_s * _MISSED_WORDS)
+    limit_s = _SILENT_REPEATABLE_S if repeatable else _SILENT_ONCE_S
+    return silent_s < max(limit_s, interval_s * _MISSED_UPDATES)
--- a/siskinbank/entry/links.py
+++ b/siskinbank/entry/links.py
@@ -31,10 +31,10 @@
 
 __all__ = ('Exchange', 'LinkLostError', 'RequestLink', 'RequestLinks')
 
-_CONNECT_SECONDS = 1
-_ALIVE_SECONDS = 1
-_IDLE_SECONDS = 60
-_CLOCK_SECONDS = 60
+_CONNECT_TIMEOUT_SECONDS = 1
+_PING_TIMEOUT_SECONDS = 1
+_IDLE_TIMEOUT_SECONDS = 60
+_OFFSET_WINDOW_SECONDS = 60
 
 Reply = AnswerHead | Refused | Failed | TicketIssued | KeyFenced
 
@@ -44,27 +44,27 @@
 
 
 class Exchange:
-    """One request on a link: what comes back for it."""
+    """One request on a link and the messages received for it."""
 
     def __init__(self, link: 'RequestLink', number: int) -> None:
-        """Wait for messages with ``number``."""
+        """Initialize for messages with ``number``."""
         self.number = number
         self.window = SendWindow(START_BYTES)
         self.body = BodyReader(number, link.post)
         self.reply: asyncio.Future[Reply] = asyncio.Future()
         self._link = link
 
-    def take(self, received: Message) -> Drop | None:
-        """Take a message from the link; return why it is refused."""
+    def handle(self, received: Message) -> Drop | None:
+        """Handle a message from the link; return why it is dropped, or None."""
         if isinstance(received, BodyPart):
-            return self._take_part(received)
+            return self._handle_part(received)
         if isinstance(received, Credit):
             self.window.give(received.size)
             return None
-        return self._take_reply(received)
+        return self._handle_reply(received)
 
-    def lose(self, error: Exception) -> None:
-        """Note that nothing more will come."""
+    def fail(self, error: Exception) -> None:
+        """Fail the reply and the body, as no more messages will arrive."""
         self.body.fail(error)
         if not self.reply.done():
             self.reply.set_exception(error)
@@ -83,10 +83,10 @@
         await self._link.send(sent)
 
     def close(self, *, finished: bool) -> None:
-        """Forget the request; cancel it at the sidecar if unfinished."""
-        self._link.forget(self.number, finished=finished)
+        """Close the request; cancel it at the sidecar if unfinished."""
+        self._link.remove_exchange(self.number, finished=finished)
 
-    def _take_reply(self, received: Message) -> Drop | None:
+    def _handle_reply(self, received: Message) -> Drop | None:
         if not isinstance(received, Reply):
             return Drop.malformed
         if not self.reply.done():
@@ -95,16 +95,16 @@
         self.body.fail(LinkLostError(type(received).__name__))
         return None if isinstance(received, Failed) else Drop.malformed
 
-    def _take_part(self, part: BodyPart) -> Drop | None:
-        wrong = Drop.malformed if not self.reply.done() else None
-        wrong = wrong or self.body.put(part)
-        if wrong is not None:
-            self.lose(LinkLostError(wrong.value))
-        return wrong
+    def _handle_part(self, part: BodyPart) -> Drop | None:
+        reason = Drop.malformed if not self.reply.done() else None
+        reason = reason or self.body.put(part)
+        if reason is not None:
+            self.fail(LinkLostError(reason.value))
+        return reason
 
 
 class RequestLink:
-    """The stream to one sidecar."""
+    """The stream of requests to one sidecar."""
 
     def __init__(
         self,
@@ -113,48 +113,48 @@
         clock: Clock,
         count: Callable[[Drop], None],
     ) -> None:
-        """Take over an open stream."""
+        """Initialize with an open stream."""
         self.host = opened.host
         self.incarnation = opened.incarnation
         self.leaving = False
         self.lost = False
-        self.used_at = clock()
+        self.last_used = clock()
         self._stream = stream
         self._clock = clock
         self._count = count
         self._numbers = itertools.count(1)
         self._exchanges: dict[int, Exchange] = {}
-        self._heard = asyncio.Event()
+        self._received_any = asyncio.Event()
         self._offset = -math.inf
-        self._former_offset = -math.inf
+        self._previous_offset = -math.inf
         self._offset_since = clock()
-        self.learn_clock(opened.clock)
+        self.update_clock_offset(opened.clock)
 
     @property
     def busy(self) -> bool:
         """Whether requests are open."""
         return bool(self._exchanges)
 
-    def learn_clock(self, remote: float) -> None:
-        """Note a time that the sidecar sent.
+    def update_clock_offset(self, remote: float) -> None:
+        """Update the clock offset with a time that the sidecar sent.
 
-        The message was under way for a while, so the sidecar's clock shows at
-        least this much. The largest offset of the last minutes is the nearest
-        one that never puts a deadline too late.
+        The message was in transit for a while, so the sidecar's clock shows at
+        least this time. The largest offset of the last minutes is the closest
+        estimate that never makes a deadline too late.
         """
         now = self._clock()
-        if now - self._offset_since > _CLOCK_SECONDS:
-            self._former_offset = self._offset
+        if now - self._offset_since > _OFFSET_WINDOW_SECONDS:
+            self._previous_offset = self._offset
             self._offset = -math.inf
             self._offset_since = now
         self._offset = max(self._offset, remote - now)
 
-    def to_remote(self, due: float) -> float:
-        """Return a time of this process on the sidecar's clock."""
-        return due + max(self._offset, self._former_offset)
+    def to_remote_time(self, due: float) -> float:
+        """Convert a time of this process to the sidecar's clock."""
+        return due + max(self._offset, self._previous_offset)
 
     def open(self) -> Exchange:
-        """Start an exchange with a number of its own.
+        """Open an exchange with the next number.
 
         Raises:
             LinkLostError: the stream has ended; nothing was sent.
@@ -165,17 +165,17 @@
         self._exchanges[exchange.number] = exchange
         return exchange
 
-    def forget(self, number: int, *, finished: bool) -> None:
-        """Drop what still comes for a request."""
+    def remove_exchange(self, number: int, *, finished: bool) -> None:
+        """Remove an exchange; later messages for it are dropped."""
         self._exchanges.pop(number, None)
-        self.used_at = self._clock()
+        self.last_used = self._clock()
         if not finished:
             self.post(Cancel(number))
         if self.leaving and not self._exchanges:
             self.end()
 
     def post(self, sent: Message) -> None:
-        """Send one short message if the link still stands."""
+        """Send one short message if the link is still open."""
         if not self.lost and not self._stream.writer.is_closing():
             self._stream.post(sent)
 
@@ -193,12 +193,12 @@
             raise LinkLostError(str(error)) from error
 
     async def is_alive(self) -> bool:
-        """Ask for a sign of life; whether anything came in time."""
-        self._heard.clear()
+        """Send a ping; return whether any message arrived in time."""
+        self._received_any.clear()
         self.post(Ping(0))
         try:
-            async with asyncio.timeout(_ALIVE_SECONDS):
-                await self._heard.wait()
+            async with asyncio.timeout(_PING_TIMEOUT_SECONDS):
+                await self._received_any.wait()
         except TimeoutError:
             return False
         return not self.lost
@@ -209,7 +209,7 @@
         self._stream.writer.close()
 
     async def run(self) -> None:
-        """Hand received messages to their exchanges until the end."""
+        """Dispatch received messages to exchanges until the stream ends."""
         try:
             while (received := await self._stream.receive()) is not None:
                 self._dispatch(received)
@@ -220,14 +220,14 @@
         finally:
             self.end()
             for exchange in list(self._exchanges.values()):
-                exchange.lose(LinkLostError('the sidecar closed the link'))
+                exchange.fail(LinkLostError('the sidecar closed the link'))
 
     def _dispatch(self, received: Message) -> None:
-        self._heard.set()
+        self._received_any.set()
         if isinstance(received, Ping):
             return
         if isinstance(received, GoAway):
-            self._leave(received)
+            self._handle_go_away(received)
             return
         number = getattr(received, 'number', None)
         exchange = self._exchanges.get(number) if number is not None else None
@@ -235,64 +235,64 @@
             self._count(Drop.late)
             return
         if isinstance(received, AnswerHead):
-            self.learn_clock(received.clock)
-        wrong = exchange.take(received)
-        if wrong is not None:
-            self._count(wrong)
+            self.update_clock_offset(received.clock)
+        reason = exchange.handle(received)
+        if reason is not None:
+            self._count(reason)
 
-    def _leave(self, told: GoAway) -> None:
-        """Finish what the sidecar took; the rest was not and won't be run."""
+    def _handle_go_away(self, go_away: GoAway) -> None:
+        """Keep accepted requests; fail the others, which will never be run."""
         self.leaving = True
         for number, exchange in list(self._exchanges.items()):
-            if number > told.last:
-                exchange.take(Refused(number, Refusal.draining.value, 1))
+            if number > go_away.last:
+                exchange.handle(Refused(number, Refusal.draining.value, 1))
         if not self._exchanges:
             self.end()
 
 
 class RequestLinks:
-    """One link to each sidecar that was needed so far."""
+    """The request links of a process, one for each sidecar in use."""
 
     def __init__(self, process: ProcessContext, streams: PeerStreams) -> None:
-        """Run links as tasks of ``process``."""
+        """Create without links; they run as tasks of ``process``."""
         self.streams = streams
         self._process = process
         self._links: dict[Address, RequestLink] = {}
         self._locks: dict[Address, asyncio.Lock] = {}
         self._backoffs: dict[Address, Backoff] = {}
-        self._closed_until: dict[Address, float] = {}
-        process.timers.every(_IDLE_SECONDS, self._close_idle)
+        self._retry_at: dict[Address, float] = {}
+        process.timers.every(_IDLE_TIMEOUT_SECONDS, self._close_idle)
 
     async def get(self, address: Address) -> RequestLink:
-        """Return the link to a sidecar, connecting if need be.
+        """Return the link to a sidecar; connect if there is none.
 
         Raises:
-            LinkLostError: the sidecar cannot be reached, or could not just
-                now; nothing was sent to it.
+            LinkLostError: the sidecar is unreachable, or was and the back-off
+                has not ended; nothing was sent to it.
         """
         async with self._locks.setdefault(address, asyncio.Lock()):
             link = self._links.get(address)
             if link is None or link.lost or link.leaving:
-                self._check_pause(address)
+                self._check_backoff(address)
                 link = await self._connect(address)
                 self._links[address] = link
             return link
 
-    def _check_pause(self, address: Address) -> None:
-        if self._process.timers.now < self._closed_until.get(address, 0):
-            raise LinkLostError('the sidecar was unreachable just now')
+    def _check_backoff(self, address: Address) -> None:
+        if self._process.timers.now < self._retry_at.get(address, 0):
+            raise LinkLostError('the sidecar was unreachable; backing off')
 
     async def _connect(self, address: Address) -> RequestLink:
         try:
-            async with asyncio.timeout(_CONNECT_SECONDS):
+            async with asyncio.timeout(_CONNECT_TIMEOUT_SECONDS):
                 link = await self._open(address)
         except (OSError, MessageError) as error:
             backoff = self._backoffs.setdefault(address, Backoff())
             pause = backoff.next_pause()
-            self._closed_until[address] = self._process.timers.now + pause
+            self._retry_at[address] = self._process.timers.now + pause
             raise LinkLostError(str(error)) from error
         self._backoffs.pop(address, None)
-        self._closed_until.pop(address, None)
+        self._retry_at.pop(address, None)
         self._process.start_task(link.run())
         return link
 
@@ -306,7 +306,7 @@
             raise
         if not isinstance(opened, LinkOpened):
             stream.writer.close()
-            raise MessageError('no request link')
+            raise MessageError('the sidecar did not open a request link')
         timers = self._process.timers
         return RequestLink(
             stream,
@@ -318,7 +318,9 @@
     def _close_idle(self) -> None:
         now = self._process.timers.now
         for address, link in list(self._links.items()):
-            idle = not link.busy and now - link.used_at > _IDLE_SECONDS
+            idle = (
+                not link.busy and now - link.last_used > _IDLE_TIMEOUT_SECONDS
+            )
             if link.lost or idle:
                 del self._links[address]
                 link.end()
--- a/siskinbank/entry/problems.py
+++ b/siskinbank/entry/problems.py
@@ -1,4 +1,4 @@
-"""Refusals and doubt as problem documents after RFC 9457."""
+"""Refusals and unknown outcomes as RFC 9457 problem documents."""
 
 import math
 from http import HTTPStatus
@@ -11,12 +11,12 @@
 
 __all__ = ('problem_response', 'problem_status')
 
-_NOT_RUN: dict[Refusal, HTTPStatus] = {
+_NOT_RUN_STATUS: dict[Refusal, HTTPStatus] = {
     Refusal.malformed: HTTPStatus.BAD_REQUEST,
     Refusal.too_large: HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE,
     Refusal.expired: HTTPStatus.GATEWAY_TIMEOUT,
 }
-_UNKNOWN: dict[Doubt, HTTPStatus] = {
+_UNKNOWN_STATUS: dict[Doubt, HTTPStatus] = {
     Doubt.duplicate: HTTPStatus.CONFLICT,
     Doubt.old_ticket: HTTPStatus.CONFLICT,
     Doubt.bad_ticket: HTTPStatus.CONFLICT,
@@ -28,14 +28,16 @@
 
 
 def problem_status(outcome: NotRun | Unknown) -> HTTPStatus:
-    """Return the status code under which an outcome is told."""
+    """Return the HTTP status code for an outcome."""
     if isinstance(outcome, NotRun):
-        return _NOT_RUN.get(outcome.reason, HTTPStatus.SERVICE_UNAVAILABLE)
-    return _UNKNOWN.get(outcome.reason, HTTPStatus.BAD_GATEWAY)
+        return _NOT_RUN_STATUS.get(
+            outcome.reason, HTTPStatus.SERVICE_UNAVAILABLE
+        )
+    return _UNKNOWN_STATUS.get(outcome.reason, HTTPStatus.BAD_GATEWAY)
 
 
 def problem_response(outcome: NotRun | Unknown) -> web.Response:
-    """Return the answer that tells an outcome."""
+    """Return an HTTP response with the problem document of an outcome."""
     status = problem_status(outcome)
     headers = {OUTCOME_HEADER: outcome.tag}
     if outcome.retry_after is not None:
--- a/siskinbank/entry/searches.py
+++ b/siskinbank/entry/searches.py
@@ -1,37 +1,39 @@
-"""Searches for flow owners that no sidecar has answered yet."""
+"""Unanswered searches for the owners of flows."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
 
 from siskinbank.config.site import Host
 
-__all__ = ('Searches',)
+__all__ = ('OwnerSearches',)
 
 _MAX_SEARCHES = 10_000
-#: A caller's shortest retransmission time; an answer takes a few milliseconds.
-_PATIENCE_SECONDS = 0.3
-#: How long a silent host is asked last, before it is tried first again.
+#: The shortest retransmission timeout of a caller; an answer takes a few
+#: milliseconds.
+_ANSWER_TIMEOUT_SECONDS = 0.3
+#: How long a silent host is asked last before it gets its rank back.
 _SUSPECT_SECONDS = 5.0
 
 
 @dataclass(slots=True)
-class _Search:
+class _OwnerSearch:
     since: float
-    turn: int
+    position: int
     asked: str
 
 
-class Searches:
-    """Turns to the next candidate when the one that was asked seems silent.
+class OwnerSearches:
+    """Orders candidates, with hosts that don't answer last.
 
-    A host that owes an answer to any search is asked last for all flows, so
-    that a dead host costs an entry a packet or two, not one for each flow.
+    A search goes on to the next candidate after a timeout. A host that leaves
+    any search unanswered is asked last for all flows, so that a dead host
+    costs an entry one or two packets, not one for each flow.
     """
 
     def __init__(self) -> None:
-        """Start empty."""
-        self._open: dict[bytes, _Search] = {}
-        self._owed_since: dict[str, float] = {}
+        """Create without searches."""
+        self._open: dict[bytes, _OwnerSearch] = {}
+        self._unanswered_since: dict[str, float] = {}
 
     def __len__(self) -> int:
         """Return the number of open searches."""
@@ -55,43 +57,47 @@
         ranked = sorted(hosts, key=lambda host: self._is_silent(host, now))
         search = self._open.get(flow)
         if search is None:
-            search = _Search(now, 0, ranked[0].name)
-        elif now - search.since > _PATIENCE_SECONDS:
-            search = self._next(search, now, ranked)
-        self._remember(flow, search, now)
-        turn = search.turn % len(ranked)
-        return ranked[turn:] + ranked[:turn]
+            search = _OwnerSearch(now, 0, ranked[0].name)
+        elif now - search.since > _ANSWER_TIMEOUT_SECONDS:
+            search = self._next_search(search, now, ranked)
+        self._record(flow, search, now)
+        position = search.position % len(ranked)
+        return ranked[position:] + ranked[:position]
 
     def end(self, flow: bytes) -> None:
-        """Forget a search that was answered; who was asked passed it on."""
+        """End an answered search.
+
+        The host that was asked counts as responsive even if another host
+        answered, as it forwarded the packet.
+        """
         search = self._open.pop(flow, None)
         if search is not None:
-            self._owed_since.pop(search.asked, None)
+            self._unanswered_since.pop(search.asked, None)
 
-    def _next(
+    def _next_search(
         self,
-        search: _Search,
+        search: _OwnerSearch,
         now: float,
         ranked: Sequence[Host],
-    ) -> _Search:
-        """Ask the next host, unless the silent one is asked last already."""
-        turn = search.turn % len(ranked)
-        if ranked[turn].name == search.asked:
-            turn = (turn + 1) % len(ranked)
-        return _Search(now, turn, ranked[turn].name)
-
-    def _remember(self, flow: bytes, search: _Search, now: float) -> None:
+    ) -> _OwnerSearch:
+        """Advance to the next host unless the silent one is last already."""
+        position = search.position % len(ranked)
+        if ranked[position].name == search.asked:
+            position = (position + 1) % len(ranked)
+        return _OwnerSearch(now, position, ranked[position].name)
+
+    def _record(self, flow: bytes, search: _OwnerSearch, now: float) -> None:
         if len(self._open) >= _MAX_SEARCHES:
             self._open.clear()
-            self._owed_since.clear()
+            self._unanswered_since.clear()
         self._open[flow] = search
-        self._owed_since.setdefault(search.asked, now)
+        self._unanswered_since.setdefault(search.asked, now)
 
     def _is_silent(self, host: Host, now: float) -> bool:
-        since = self._owed_since.get(host.name)
+        since = self._unanswered_since.get(host.name)
         if since is None:
             return False
         if now - since > _SUSPECT_SECONDS:
-            del self._owed_since[host.name]
+            del self._unanswered_since[host.name]
             return False
-        return now - since > _PATIENCE_SECONDS
+        return now - since > _ANSWER_TIMEOUT_SECONDS
--- a/siskinbank/entry/ticketing.py
+++ b/siskinbank/entry/ticketing.py
@@ -1,4 +1,4 @@
-"""Get a ticket for a caller from one of the hosts."""
+"""Request a ticket for a caller from one of the hosts."""
 
 import asyncio
 import random
@@ -16,7 +16,7 @@
 
 __all__ = ('issue_ticket',)
 
-_ASK_SECONDS = 2.0
+_ISSUE_TIMEOUT_SECONDS = 2.0
 _RANDOM_BITS = 64
 _RETRY_AFTER_SECONDS = 1.0
 
@@ -25,10 +25,10 @@
     context: EntryContext,
     call: Call,
 ) -> web.Response | NotRun:
-    """Ask one host after the other; issuing runs nothing anywhere."""
+    """Ask one host after the other; issuing a ticket runs no request."""
     flow = random.getrandbits(_RANDOM_BITS)
     for host in context.router.fresh(call.service, flow):
-        issued = await _ask(context, call, host)
+        issued = await _request_ticket(context, call, host)
         if issued is not None:
             return web.json_response(
                 {'ticket': issued.ticket, 'good_for': issued.good_for},
@@ -41,13 +41,13 @@
     return NotRun(Refusal.no_host, _RETRY_AFTER_SECONDS)
 
 
-async def _ask(
+async def _request_ticket(
     context: EntryContext,
     call: Call,
     host: Host,
 ) -> TicketIssued | None:
     try:
-        async with asyncio.timeout(min(_ASK_SECONDS, call.remaining)):
+        async with asyncio.timeout(min(_ISSUE_TIMEOUT_SECONDS, call.remaining)):
             link = await context.links.get(host.address)
             exchange = link.open()
             try:
--- a/siskinbank/ingress/__init__.py
+++ b/siskinbank/ingress/__init__.py
@@ -1,4 +1,4 @@
-"""How work enters: plug-ins that take packets, connections or requests."""
+"""Ingress plug-ins that accept packets, connections or requests."""
 
 from siskinbank.ingress.registry import (
     IngressHandle,
--- a/siskinbank/ingress/fou.py
+++ b/siskinbank/ingress/fou.py
@@ -1,4 +1,4 @@
-"""Packets as the fabric hands them over: IP in UDP, sprayed over entries."""
+"""Ingress for IP packets in UDP, which the fabric sprays over entries."""
 
 import socket
 from typing import cast
@@ -6,7 +6,7 @@
 from siskinbank.config.site import Address, Service
 from siskinbank.entry.cache import Receiver, Route, RouteCache
 from siskinbank.entry.context import EntryContext
-from siskinbank.entry.searches import Searches
+from siskinbank.entry.searches import OwnerSearches
 from siskinbank.ingress.registry import (
     IngressHandle,
     IngressPlugin,
@@ -31,30 +31,30 @@
 __all__ = ('PacketIngress', 'start_fou')
 
 _CACHED_FLOWS = 400_000
-_MAX_SHARED_ROUTES = 10_000
-_PASSED = 'packets_passed'
+_MAX_OWNER_ROUTES = 10_000
+_FORWARDED_METRIC = 'packets_passed'
 
 
 class PacketIngress:
     """Sends each packet to the sidecar that owns its flow, or by rank."""
 
     def __init__(self, context: EntryContext) -> None:
-        """Serve all packet services of an entry."""
+        """Initialize for all packet services of an entry."""
         self._view = context.view
         self._router = context.router
         self.peers = context.peers
         self._metrics = context.process.metrics
-        self._passed = self._metrics.cell(_PASSED)
+        self._forwarded = self._metrics.cell(_FORWARDED_METRIC)
         self._clock = context.process.timers.clock
-        self._guard = SuspensionGuard(
+        self._suspension = SuspensionGuard(
             context.process.timers,
             lambda: context.view.list_age,
             lambda: context.view.fresh,
         )
-        self._own = pack_address(context.settings.bind)
+        self._own_address = pack_address(context.settings.bind)
         self._routes = RouteCache(_CACHED_FLOWS)
-        self._shared: dict[tuple[bytes, int, int], Route] = {}
-        self._searches = Searches()
+        self._routes_by_owner: dict[tuple[bytes, int, int], Route] = {}
+        self._searches = OwnerSearches()
         self._receivers: dict[bytes, Receiver] = {}
         self._services: dict[tuple[bytes, int], Service] = {}
         context.view.subscribe(self._refresh)
@@ -62,10 +62,10 @@
         self._refresh()
 
     def receive(self, datagram: bytes, _sender: Address) -> None:
-        """Take one datagram from the fabric.
+        """Handle one datagram from the fabric.
 
-        The packet of a flow with a known owner takes the short way: no
-        parsing beyond its fixed fields, and a head that is packed already.
+        The packet of a flow with a known owner takes the fast path: only its
+        fixed fields are parsed, and the envelope head is already packed.
         """
         flow = plain_flow(datagram)
         if flow is not None:
@@ -73,19 +73,19 @@
             if (
                 route is not None
                 and route.receiver.allowed
-                and self._clock() <= self._guard.until
+                and self._clock() <= self._suspension.until
             ):
-                self._passed[0] += 1
+                self._forwarded[0] += 1
                 self.peers.send_packet(
                     route.head,
                     datagram,
                     route.receiver.address,
                 )
                 return
-        self._receive_other(datagram)
+        self._receive_parsed(datagram)
 
     def learn(self, received: Message, _sender: Address) -> None:
-        """Remember the owner that a sidecar told."""
+        """Cache the owner of a flow that a sidecar announced."""
         if not isinstance(received, Owner):
             return
         service = self._services.get(read_ends(received.flow))
@@ -95,10 +95,10 @@
         ):
             self._metrics.count(Drop.stale_hint)
             return
-        self._routes.put(received.flow, self._route(received, service))
+        self._routes.put(received.flow, self._route_to(received, service))
         self._searches.end(received.flow)
 
-    def _receive_other(self, datagram: bytes) -> None:
+    def _receive_parsed(self, datagram: bytes) -> None:
         if len(datagram) > MAX_PACKET_BYTES:
             self._metrics.count(Drop.too_large)
             return
@@ -110,36 +110,36 @@
         if service is None:
             self._metrics.count(Drop.unknown_service)
             return
-        if not self._guard.awake:
+        if not self._suspension.awake:
             self._metrics.count(Drop.stale_view)
             return
-        if not self._pass_on_known(packet):
-            self._search(packet, service)
+        if not self._forward_by_route(packet):
+            self._search_owner(packet, service)
 
-    def _pass_on_known(self, packet: InnerPacket) -> bool:
-        """Follow the flow's route; return whether the packet is done with."""
+    def _forward_by_route(self, packet: InnerPacket) -> bool:
+        """Forward a packet by its flow's route; return whether it is handled."""
         flow = packet.flow
         route = self._routes.get(flow)
         if route is None:
             return False
         receiver = route.receiver
         if receiver.allowed:
-            self._passed[0] += 1
+            self._forwarded[0] += 1
             self.peers.send_packet(route.head, packet.raw, receiver.address)
             return True
         if packet.may_open:
-            self._routes.forget(flow)
+            self._routes.remove(flow)
             return False
         self._metrics.count(Drop.owner_gone)
         return True
 
-    def _search(self, packet: InnerPacket, service: Service) -> None:
+    def _search_owner(self, packet: InnerPacket, service: Service) -> None:
         candidates = self._candidates(packet, service)
         if not candidates:
             self._metrics.count(Drop.no_host)
             return
         envelope = self._envelope(service, packet.raw, UNCACHED, candidates)
-        self._passed[0] += 1
+        self._forwarded[0] += 1
         self.peers.send_envelope(envelope, unpack_address(candidates[0]))
 
     def _candidates(
@@ -171,26 +171,26 @@
             service.ident,
             self._view.generation,
             0,
-            self._own,
+            self._own_address,
             candidates,
             raw,
         )
 
-    def _route(self, told: Owner, service: Service) -> Route:
-        """Return the route to an owner, one for all its flows."""
-        key = (told.address, service.ident, told.incarnation)
-        route = self._shared.get(key)
-        receiver = self._receiver(told.address, told.generation)
+    def _route_to(self, owner: Owner, service: Service) -> Route:
+        """Return the route to an owner, shared by all its flows."""
+        key = (owner.address, service.ident, owner.incarnation)
+        route = self._routes_by_owner.get(key)
+        receiver = self._receiver_at(owner.address, owner.generation)
         if route is None:
             head = self._envelope(service, b'', NAMED, (receiver.packed,))
-            head.incarnation = told.incarnation
+            head.incarnation = owner.incarnation
             route = Route(receiver, head.pack_head())
-            if len(self._shared) >= _MAX_SHARED_ROUTES:
-                self._shared.clear()
-            self._shared[key] = route
+            if len(self._routes_by_owner) >= _MAX_OWNER_ROUTES:
+                self._routes_by_owner.clear()
+            self._routes_by_owner[key] = route
         return route
 
-    def _receiver(self, packed: bytes, generation: int) -> Receiver:
+    def _receiver_at(self, packed: bytes, generation: int) -> Receiver:
         receiver = self._receivers.get(packed)
         if receiver is None:
             address = unpack_address(packed)
@@ -210,15 +210,15 @@
             for endpoint in service.endpoints
             if endpoint.ingress == 'fou'
         }
-        if _idents(services) != _idents(self._services):
+        if _service_ids(services) != _service_ids(self._services):
             self._routes.clear()
         self._services = services
-        self._shared.clear()
+        self._routes_by_owner.clear()
         for packed, receiver in self._receivers.items():
             receiver.allowed = self._router.allows(packed, receiver.generation)
 
 
-def _idents(
+def _service_ids(
     services: dict[tuple[bytes, int], Service],
 ) -> dict[tuple[bytes, int], int]:
     return {ends: service.ident for ends, service in services.items()}
@@ -244,7 +244,7 @@
         )
 
     async def drain() -> None:
-        """Nothing is held here, so there is nothing to wait for."""
+        """Do nothing: no open work is held here."""
 
     return IngressHandle(drain)
 
--- a/siskinbank/ingress/http.py
+++ b/siskinbank/ingress/http.py
@@ -1,4 +1,4 @@
-"""HTTP requests to the entry's own address."""
+"""Ingress for HTTP requests to the entry's own address."""
 
 import asyncio
 
@@ -31,7 +31,7 @@
 
 
 class _HttpIngress:
-    """The open calls of one listener."""
+    """Serves the requests of one listener."""
 
     def __init__(self, context: EntryContext, port: int) -> None:
         self._context = context
@@ -51,24 +51,24 @@
             self.open_calls.discard(task)
 
     async def _serve(self, request: web.BaseRequest) -> web.StreamResponse:
-        call = self._read(request)
+        call = self._read_call(request)
         if isinstance(call, NotRun):
-            return self._tell(call)
+            return self._problem_answer(call)
         if call.ticket == _NEW_TICKET:
             issued = await issue_ticket(self._context, call)
             if isinstance(issued, web.Response):
-                return self._closed(issued)
-            return self._tell(issued)
+                return self._close_if_draining(issued)
+            return self._problem_answer(issued)
         timers = self._context.process.timers
         started = timers.now
         outcome = await self._attempts.run(call)
         self._context.process.metrics.time('request', timers.now - started)
         if isinstance(outcome, NotRun | Unknown):
-            return self._tell(outcome)
+            return self._problem_answer(outcome)
         assert call.response is not None
         return call.response
 
-    def _read(self, request: web.BaseRequest) -> Call | NotRun:
+    def _read_call(self, request: web.BaseRequest) -> Call | NotRun:
         if len(self.open_calls) > _MAX_OPEN_CALLS:
             return NotRun(Refusal.entry_at_limit, _RETRY_AFTER_SECONDS)
         service = find_service(self._context, 'http', self._port)
@@ -82,12 +82,12 @@
             lambda: self.closing,
         )
 
-    def _tell(self, outcome: NotRun | Unknown) -> web.Response:
+    def _problem_answer(self, outcome: NotRun | Unknown) -> web.Response:
         self._context.process.metrics.count(outcome.reason)
-        return self._closed(problem_response(outcome))
+        return self._close_if_draining(problem_response(outcome))
 
-    def _closed(self, response: web.Response) -> web.Response:
-        """Ask the caller to come back over a new connection in a stop."""
+    def _close_if_draining(self, response: web.Response) -> web.Response:
+        """Close the caller's connection after the response when draining."""
         if self.closing:
             response.force_close()
         return response
@@ -122,7 +122,7 @@
     open_work[f'requests on port {port}'] = lambda: len(ingress.open_calls)
 
     async def drain() -> None:
-        """Answer what comes over open connections, and close these."""
+        """Finish requests on open connections, then close these."""
         ingress.closing = True
         await site.stop()
         await asyncio.sleep(_LINGER_SECONDS)
--- a/siskinbank/ingress/parse_log.py
+++ b/siskinbank/ingress/parse_log.py
@@ -1,4 +1,4 @@
-"""Count requests that the HTTP parser refuses, in place of log lines."""
+"""Count requests that the HTTP parser refuses instead of logging them."""
 
 import logging
 
@@ -16,7 +16,7 @@
         self._process = process
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Count what the parser refused; write what failed otherwise."""
+        """Count a request that the parser refused; log any other failure."""
         error = record.exc_info[1] if record.exc_info else None
         if isinstance(error, HttpProcessingError):
             self._process.metrics.count(Refusal.malformed)
@@ -25,7 +25,7 @@
 
 
 def make_parse_logger(process: ProcessContext) -> logging.Logger:
-    """Return a logger for an HTTP server, apart from all other loggers."""
+    """Return a logger for an HTTP server, without a parent logger."""
     logger = logging.Logger('siskinbank.http', logging.ERROR)
     logger.addHandler(_ParseHandler(process))
     return logger
--- a/siskinbank/ingress/registry.py
+++ b/siskinbank/ingress/registry.py
@@ -13,7 +13,7 @@
 class IngressHandle:
     """A running ingress.
 
-    ``drain`` stops taking work and returns when open work has ended.
+    ``drain`` stops accepting work and returns when open work has ended.
     """
 
     drain: Callable[[], Coroutine[Any, Any, None]]
@@ -21,9 +21,9 @@
 
 @dataclass(frozen=True, slots=True)
 class IngressPlugin:
-    """A way for work to enter.
+    """A kind of ingress.
 
-    ``start`` takes the entry's context, an IP number and a port.
+    ``start`` takes the entry's context, an IP address and a port.
     """
 
     name: str
--- a/siskinbank/ingress/tcp.py
+++ b/siskinbank/ingress/tcp.py
@@ -1,4 +1,4 @@
-"""Plain TCP connections to the entry's own address."""
+"""Ingress for plain TCP connections to the entry's own address."""
 
 import asyncio
 
@@ -18,7 +18,7 @@
 
 __all__ = ('start_tcp',)
 
-_OPEN_SECONDS = 2
+_OPEN_TIMEOUT_SECONDS = 2
 
 
 async def start_tcp(
@@ -70,9 +70,9 @@
             return
         caller = '{0}:{1}'.format(*writer.get_extra_info('peername')[:2])
         started = context.process.timers.now
-        stream = await _open(context, service, caller)
-        took = context.process.timers.now - started
-        context.process.metrics.time('flow_opening', took)
+        stream = await _open_at_any_host(context, service, caller)
+        elapsed = context.process.timers.now - started
+        context.process.metrics.time('flow_opening', elapsed)
         if stream is not None:
             context.process.metrics.tally('flows_opened')
             await pump_both(reader, writer, stream)
@@ -85,7 +85,7 @@
     ingress: str,
     port: int,
 ) -> Service | None:
-    """Return the service that listens on a port with this ingress."""
+    """Return the service with this ingress on a port, or None."""
     site = context.view.site
     if site is None:
         return None
@@ -96,16 +96,16 @@
     return None
 
 
-async def _open(
+async def _open_at_any_host(
     context: EntryContext,
     service: Service,
     caller: str,
 ) -> MessageStream | None:
-    """Offer the connection to one candidate after the other."""
+    """Try to open the connection at one candidate after the other."""
     metrics = context.process.metrics
     for host in context.router.fresh(service, digest64(caller)):
         try:
-            stream = await _offer(context, host, service, caller)
+            stream = await _open_tunnel(context, host, service, caller)
         except (OSError, MessageError):
             metrics.count(Retry.unreachable)
             continue
@@ -116,13 +116,13 @@
     return None
 
 
-async def _offer(
+async def _open_tunnel(
     context: EntryContext,
     host: Host,
     service: Service,
     caller: str,
 ) -> MessageStream | None:
-    async with asyncio.timeout(_OPEN_SECONDS):
+    async with asyncio.timeout(_OPEN_TIMEOUT_SECONDS):
         stream = await context.links.streams.connect(host.address)
         try:
             await stream.send(OpenTunnel(service.ident, caller))
--- a/tests/coordination/test_client.py
+++ b/tests/coordination/test_client.py
@@ -16,7 +16,7 @@
     """Tickets, retries and outcomes."""
 
     async def test_answers(self) -> None:
-        """Both kinds of work are answered, past an entry that is gone."""
+        """Idempotent and other work is answered despite an unreachable entry."""
         async with running_rig(entries=2, hosts=2) as rig:
             urls = ['http://127.0.0.1:1', *rig.urls()]
             async with RequestClient(urls, random.Random(1)) as client:
@@ -27,7 +27,7 @@
                     self.assertEqual(outcome.body, BODY)
 
     async def test_new_ticket_after_refusal(self) -> None:
-        """A host that refuses is passed over with a new ticket."""
+        """After a refusal the work is tried with a new ticket."""
         async with running_rig(entries=1, hosts=2) as rig:
             await rig.hosts['matcher-1'].upstream.stop()
             async with RequestClient(rig.urls(), random.Random(1)) as client:
@@ -43,7 +43,7 @@
                 [got for got in outcomes if isinstance(got, Unknown)],
             )
 
-    async def test_doubt_is_final(self) -> None:
+    async def test_unknown_outcome_is_final(self) -> None:
         """Work that may have run is not run again."""
         async with running_rig(entries=1, hosts=2) as rig:
             upstreams = [host.upstream for host in rig.hosts.values()]
@@ -52,11 +52,11 @@
             async with RequestClient(rig.urls()) as client:
                 outcome = await client.send(Work('POST', '/match', BODY))
             self.assertIsInstance(outcome, Unknown)
-            arrivals = sum(stand_in.arrivals for stand_in in upstreams)
+            arrivals = sum(server.arrivals for server in upstreams)
             self.assertEqual(arrivals, 1)
 
-    async def test_ticket_again_after_a_cut(self) -> None:
-        """The same ticket is sent again when the way to its host broke."""
+    async def test_ticket_is_resent_after_cut_link(self) -> None:
+        """The same ticket is sent again when the link to its host was cut."""
         async with running_rig(entries=2, hosts=1) as rig:
             host = rig.hosts['matcher-1']
             async with RequestClient(rig.urls(), random.Random(1)) as client:
@@ -70,8 +70,8 @@
             self.assertNotIsInstance(outcome, NotRun)
             self.assertLessEqual(host.upstream.runs['k'], 1)
 
-    async def test_nobody_there(self) -> None:
-        """Without any entry nothing was run."""
+    async def test_no_entry_reachable(self) -> None:
+        """Without a reachable entry the work has not run."""
         async with RequestClient(['http://127.0.0.1:1']) as client:
             work = Work('POST', '/match', BODY, deadline=1)
             outcome = await client.send(work)
--- a/tests/coordination/test_face.py
+++ b/tests/coordination/test_face.py
@@ -1,4 +1,4 @@
-"""Tests of the library face: its imports, its page and its examples."""
+"""Tests of the public library: imports, documentation and examples."""
 
 import re
 import subprocess
@@ -13,9 +13,9 @@
 OUTPUT = re.compile(
     '`examples/library/([a-z]+).py` prints:\n\n```\n(.*?)```', re.S
 )
-#: Nobody who embeds a part should have to load these.
+#: Packages that embedding applications must not have to load.
 HEAVY = ('aiohttp', 'click', 'aiomisc', 'cryptography', 'uvloop')
-#: What only the dissemination may load besides.
+#: Packages that only the dissemination of configuration may load.
 MODELS = ('pydantic', 'prometheus_client')
 DISSEMINATION = ('DocumentStore', 'Gossip', 'Identity', 'Manifest', 'Metrics')
 LOAD_ALL = f"""
@@ -44,29 +44,29 @@
     return done.stdout
 
 
-class TestFace(unittest.TestCase):
-    """What others can rely on."""
+class TestPublicLibrary(unittest.TestCase):
+    """The public names and their documentation."""
 
-    def test_light(self) -> None:
-        """All parts together load none of the daemons' libraries."""
+    def test_no_heavy_imports(self) -> None:
+        """All names together load none of the daemons' libraries."""
         self.assertEqual(run('-c', LOAD_ALL), '[]\n[]\n')
 
     def test_unknown_name(self) -> None:
-        """A misspelled name is an attribute error, as everywhere."""
+        """An unknown name raises AttributeError."""
         with self.assertRaises(AttributeError):
             coordination.Absent  # noqa: B018
 
     def test_page_and_examples_agree(self) -> None:
-        """Each example prints what the page says, and each is on the page."""
+        """All examples are on the page, with the output that they print."""
         page = (ROOT / 'docs' / 'LIBRARY.md').read_text()
-        told = dict(OUTPUT.findall(page))
-        self.assertEqual(set(told), {path.stem for path in EXAMPLES})
+        outputs = dict(OUTPUT.findall(page))
+        self.assertEqual(set(outputs), {path.stem for path in EXAMPLES})
         for path in EXAMPLES:
             with self.subTest(path=path.name):
-                self.assertEqual(run(str(path)), told[path.stem])
+                self.assertEqual(run(str(path)), outputs[path.stem])
 
-    def test_page_names_every_part(self) -> None:
-        """No part is left without a word."""
+    def test_page_lists_every_name(self) -> None:
+        """The page documents every public name."""
         page = (ROOT / 'docs' / 'LIBRARY.md').read_text()
         for name in coordination.__all__:
             with self.subTest(name=name):
--- a/tests/coordination/test_leases.py
+++ b/tests/coordination/test_leases.py
@@ -1,4 +1,4 @@
-"""Tests of leases, against a plain dictionary of ends."""
+"""Tests of leases against a plain dictionary of expiry times."""
 
 import unittest
 
@@ -14,11 +14,11 @@
 
 
 class TestLeases(unittest.TestCase):
-    """Held until the end, and not longer."""
+    """Values are held exactly until their leases end."""
 
     @given(STEPS)
-    def test_as_a_dictionary(self, steps: list[tuple[str, int]]) -> None:
-        """The table holds what a dictionary of ends says."""
+    def test_against_dictionary(self, steps: list[tuple[str, int]]) -> None:
+        """The table holds the same keys as the dictionary."""
         clock = FakeClock()
         ended: list[int] = []
         leases: Leases[int, int] = Leases(
@@ -44,8 +44,8 @@
         leases.expire()
         self.assertLessEqual(set(ends), set(ended))
 
-    def test_rejects_bad_settings(self) -> None:
-        """A lease needs time and a place."""
+    def test_rejects_invalid_arguments(self) -> None:
+        """The lease time and the capacity must be positive."""
         for seconds, capacity in ((0, 1), (-1, 1), (1, 0)):
             with self.subTest(seconds=seconds), self.assertRaises(ValueError):
                 Leases(seconds, capacity)
--- a/tests/coordination/test_retries.py
+++ b/tests/coordination/test_retries.py
@@ -11,10 +11,10 @@
 
 
 class TestBackoff(unittest.TestCase):
-    """Pauses grow, with jitter, up to the cap."""
+    """Pauses grow up to the cap, with jitter."""
 
     def test_ranges(self) -> None:
-        """Each pause lies in its range, and not always at its end."""
+        """Each pause lies within its range and differs from the others."""
         for seed in range(20):
             backoff = Backoff(base=0.1, cap=1, rng=random.Random(seed))
             pauses = [backoff.next_pause() for _ in range(10)]
@@ -27,10 +27,10 @@
 
 
 class TestRetryBudget(unittest.TestCase):
-    """Retries stay a share of fresh work."""
+    """Retries are limited to a share of new requests."""
 
     def test_share(self) -> None:
-        """With everything failing, retries stay near a tenth."""
+        """If every request fails, a tenth as many are retried."""
         budget = RetryBudget(FakeClock())
         taken = 0
         for _ in range(FRESH):
@@ -40,7 +40,7 @@
         self.assertGreaterEqual(taken, FRESH * 0.1 - 1)
 
     def test_floor_and_burst(self) -> None:
-        """Rare work earns retries by time, but saves up few."""
+        """Rare requests get tokens over time, up to the burst limit."""
         clock = FakeClock()
         budget = RetryBudget(clock, floor=0.1, burst=3)
         self.assertTrue(budget.take())
--- a/tests/coordination/test_ticket_model.py
+++ b/tests/coordination/test_ticket_model.py
@@ -1,4 +1,4 @@
-"""A model that searches interleavings for a second run of one ticket."""
+"""Stateful test that searches for a second run of one ticket."""
 
 import unittest
 from collections import Counter
@@ -13,16 +13,16 @@
 HOSTS = 2
 KEYS = 3
 SERVICE = 7
-#: Remembered for longer than any ticket lives, as the sidecars do.
-MEMORY_SECONDS = 10 * TICKET_SECONDS
+#: Claims last longer than any ticket is valid, as at the sidecars.
+CLAIM_SECONDS = 10 * TICKET_SECONDS
 HOST = st.integers(0, HOSTS - 1)
 
 
 class TicketModel(RuleBasedStateMachine):
-    """Clients send copies anywhere, any time; hosts restart and forget."""
+    """Clients send copies to any host at any time; hosts restart."""
 
     def __init__(self) -> None:
-        """Start the hosts."""
+        """Create the hosts."""
         super().__init__()
         self.clock = FakeClock()
         self.tickets: list[tuple[str, int, int]] = []
@@ -31,7 +31,7 @@
 
     @rule(host=HOST, key=st.integers(0, KEYS - 1))
     def issue(self, host: int, key: int) -> None:
-        """A client takes a ticket."""
+        """A client requests a ticket."""
         office, _once = self.hosts[host]
         ticket = office.issue(SERVICE, f'key-{key}')
         self.tickets.append((ticket, host, key))
@@ -45,18 +45,20 @@
         office, once = self.hosts[host]
         if office.check(ticket, SERVICE, f'key-{key}') is not None:
             return
-        assert (host, key) == (issuer, wanted), 'a foreign ticket was taken'
+        assert (host, key) == (issuer, wanted), (
+            'accepted the ticket of another host or key'
+        )
         if once.claim(ticket):
             self.runs[ticket] += 1
 
     @rule(host=HOST)
     def restart(self, host: int) -> None:
-        """A host starts again and remembers nothing."""
+        """A host restarts and loses its state."""
         self.hosts[host] = self._start(host)
 
     @rule(seconds=st.sampled_from((1, 30, 59, 61, 700)))
     def wait(self, seconds: float) -> None:
-        """Time passes."""
+        """Advance the clock."""
         self.clock.advance(seconds)
 
     @invariant()
@@ -67,7 +69,7 @@
     def _start(self, number: int) -> tuple[TicketOffice, OnceRegister]:
         return (
             TicketOffice(f'host-{number}', self.clock),
-            OnceRegister(self.clock, MEMORY_SECONDS, 1000),
+            OnceRegister(self.clock, CLAIM_SECONDS, 1000),
         )
 
 
@@ -80,4 +82,4 @@
 
 
 class TestTickets(TicketModel.TestCase, unittest.TestCase):  # type: ignore[misc]
-    """Any order of the rules."""
+    """Runs the rules in random order."""
--- a/tests/coordination/test_tickets.py
+++ b/tests/coordination/test_tickets.py
@@ -1,4 +1,4 @@
-"""Tests of tickets and of the register behind them."""
+"""Tests of tickets and of the register of claimed tickets."""
 
 import unittest
 
@@ -16,20 +16,20 @@
 
 
 class TestTickets(unittest.TestCase):
-    """One life of one host checks its own tickets."""
+    """Tickets are checked by the incarnation that issued them."""
 
     def setUp(self) -> None:
-        """Open an office, and the one after a restart."""
+        """Issue a ticket."""
         self.clock = FakeClock()
         self.office = TicketOffice('host-1', self.clock)
         self.ticket = self.office.issue(SERVICE, 'key')
 
-    def test_genuine(self) -> None:
-        """A ticket is good for its service and key."""
+    def test_valid(self) -> None:
+        """A ticket is valid for its service and key."""
         self.assertIsNone(self.office.check(self.ticket, SERVICE, 'key'))
 
     def test_refused(self) -> None:
-        """Whatever differs is told apart."""
+        """Each kind of invalid ticket has its own reason."""
         restarted = TicketOffice('host-1', self.clock)
         forged = f'{self.ticket[:-1]}{"0" if self.ticket[-1] != "0" else "1"}'
         cases = (
@@ -42,28 +42,28 @@
                 for text in BAD
             ),
         )
-        for office, text, service, key, doubt in cases:
-            with self.subTest(text=text, doubt=doubt):
-                self.assertIs(office.check(text, service, key), doubt)
+        for office, text, service, key, reason in cases:
+            with self.subTest(text=text, reason=reason):
+                self.assertIs(office.check(text, service, key), reason)
 
     def test_expires(self) -> None:
-        """A ticket ends with its time."""
+        """A ticket is refused after its expiry."""
         self.clock.advance(TICKET_SECONDS + 1)
-        told = self.office.check(self.ticket, SERVICE, 'key')
-        self.assertIs(told, Doubt.old_ticket)
+        reason = self.office.check(self.ticket, SERVICE, 'key')
+        self.assertIs(reason, Doubt.old_ticket)
 
-    def test_names_its_host(self) -> None:
-        """Any entry can read where a ticket belongs."""
+    def test_parsed_host(self) -> None:
+        """Any process can read the host of a ticket."""
         parsed = parse_ticket(self.ticket)
         assert parsed is not None
         self.assertEqual(parsed.host, 'host-1')
 
 
 class TestOnceRegister(unittest.TestCase):
-    """Claims."""
+    """Claims and their expiry."""
 
-    def test_claims_once_and_never_forgets_early(self) -> None:
-        """A full register refuses; only time makes room."""
+    def test_claims_once_and_keeps_claims(self) -> None:
+        """A full register refuses claims until older ones expire."""
         clock = FakeClock()
         register = OnceRegister(clock, lifetime=10, capacity=2)
         self.assertTrue(register.claim('a'))
--- a/tests/entry/test_cache.py
+++ b/tests/entry/test_cache.py
@@ -1,4 +1,4 @@
-"""Tests of the soft cache."""
+"""Tests of the route cache."""
 
 import unittest
 
@@ -17,17 +17,17 @@
 
 
 class TestRouteCache(unittest.TestCase):
-    """Bound and eviction."""
+    """Capacity and eviction."""
 
-    def test_stays_within_bound(self) -> None:
-        """However many flows pass, the cache stays small."""
+    def test_capacity(self) -> None:
+        """The cache stays within its size, however many flows are added."""
         cache = RouteCache(100)
         for flow in range(10_000):
             cache.put(_flow(flow), _route())
             self.assertLessEqual(len(cache), 100)
 
-    def test_used_flows_survive(self) -> None:
-        """A flow that is used again outlives those that are not."""
+    def test_used_flows_are_not_evicted(self) -> None:
+        """A flow that is used again stays longer than unused ones."""
         cache = RouteCache(100)
         cache.put(b'kept', OWNED)
         for flow in range(1000):
--- a/tests/entry/test_flow_cache.py
+++ b/tests/entry/test_flow_cache.py
@@ -1,4 +1,4 @@
-"""Tests of what an entry remembers of flows, and of its searches."""
+"""Tests of the flow cache of an entry and of its searches."""
 
 import unittest
 
@@ -9,8 +9,8 @@
 class TestCachedFlow(unittest.TestCase):
     """One flow."""
 
-    def test_the_host_that_the_client_chose(self) -> None:
-        """Two answered; what the client acknowledges decides."""
+    def test_host_selected_by_acknowledgement(self) -> None:
+        """Of two hosts that answered, the acknowledgement number decides."""
         for acknowledged, chosen in ((101, 'a'), (5001, 'b'), (4999, 'a')):
             flow = CachedFlow('a', 0)
             flow.hold('a', 100, established=False)
@@ -21,18 +21,18 @@
             self.assertEqual((flow.ip, flow.contested), (chosen, False))
 
     def test_numbers_wrap(self) -> None:
-        """Sequence numbers have 32 bits."""
+        """Sequence numbers wrap at 32 bits."""
         flow = CachedFlow('a', 0)
         flow.hold('a', 7, established=False)
         flow.hold('b', 0xFFFFFFF0, established=False)
         flow.settle(3)
         self.assertEqual(flow.ip, 'b')
 
-    def test_work_decides_before_numbers(self) -> None:
-        """A sidecar that restarted knows no number, but sees the work."""
-        for words in (('a', 'b'), ('b', 'a')):
+    def test_established_host_before_sequence_numbers(self) -> None:
+        """A restarted sidecar knows no number, but that its host has worked."""
+        for reports in (('a', 'b'), ('b', 'a')):
             flow = CachedFlow('a', 0)
-            for ip in words:
+            for ip in reports:
                 flow.hold(ip, 0 if ip == 'b' else 100, established=ip == 'b')
             self.assertEqual(flow.ip, 'b')
             flow.settle(101)
@@ -40,10 +40,10 @@
 
 
 class TestFlowCache(unittest.TestCase):
-    """All flows."""
+    """All flows of an entry."""
 
-    def test_idle_flows_go(self) -> None:
-        """The others stay."""
+    def test_idle_flows_are_removed(self) -> None:
+        """Flows with recent packets stay."""
         cache = FlowCache()
         cache.add(b'old', 'a', 0)
         cache.add(b'new', 'a', 15)
@@ -56,9 +56,9 @@
 
 
 class TestSearches(unittest.TestCase):
-    """Bounded in number, packets and time."""
+    """Limits on number, queued packets and time."""
 
-    def test_bounds(self) -> None:
+    def test_limits(self) -> None:
         """Load pattern: a router moves all flows of an entry at once."""
         searches = Searches()
         number = 0
@@ -75,8 +75,8 @@
                 search.keep(str(step).encode())
         self.assertEqual(search and len(search.waiting), 16)
 
-    def test_hosts_that_come_back_are_asked(self) -> None:
-        """Load pattern: sidecars start one by one after a loss of power."""
+    def test_returning_hosts_are_asked(self) -> None:
+        """Load pattern: sidecars restart one by one after a loss of power."""
         search = Search(0, b'first')
         self.assertEqual(search.unanswered(['a']), ['a'])
         search.absent.add('a')
@@ -88,18 +88,18 @@
     def test_dead_hosts_are_asked_once(self) -> None:
         """Load pattern: many searches while dozens of hosts are dead."""
         search = Search(100, b'first')
-        heard = {'dead': 99.5, 'living': 99.9}
-        self.assertEqual(search.to_ask(heard, 100), ['dead', 'living'])
+        last_received = {'dead': 99.5, 'alive': 99.9}
+        self.assertEqual(search.to_ask(last_received, 100), ['dead', 'alive'])
         for step in range(1, 12):
-            self.assertEqual(search.to_ask(heard, 100 + step / 10), [])
-        heard['living'] = 101.1
-        self.assertEqual(search.to_ask(heard, 101.2), ['living'])
-        search.absent.add('living')
-        heard['living'] = 101.5
-        self.assertEqual(search.to_ask(heard, 101.6), [])
-
-    def test_a_repeated_packet_is_kept_once(self) -> None:
-        """The hosts have the first one already."""
+            self.assertEqual(search.to_ask(last_received, 100 + step / 10), [])
+        last_received['alive'] = 101.1
+        self.assertEqual(search.to_ask(last_received, 101.2), ['alive'])
+        search.absent.add('alive')
+        last_received['alive'] = 101.5
+        self.assertEqual(search.to_ask(last_received, 101.6), [])
+
+    def test_first_packet_is_not_queued(self) -> None:
+        """A retransmission of the first packet was sent to the hosts already."""
         search = Search(0, b'first')
         search.keep(b'first')
         self.assertEqual(search.waiting, [])
--- a/tests/entry/test_flow_searches.py
+++ b/tests/entry/test_flow_searches.py
@@ -11,23 +11,23 @@
     """Load pattern: hundreds of searches while dozens of hosts are dead."""
 
     def test_a_dead_host_is_asked_once(self) -> None:
-        """Until its sidecar speaks again."""
+        """A dead host is asked again only after a message from its sidecar."""
         search = Search(100, b'packet')
         self.assertEqual(search.to_ask(HOSTS, 100), list(HOSTS))
         search.absent.add('10.0.0.1')
         self.assertEqual(search.to_ask(HOSTS, 100.4), [])
-        back = {**HOSTS, '10.0.0.2': 100.2}
-        self.assertEqual(search.to_ask(back, 100.4), ['10.0.0.2'])
+        restarted = {**HOSTS, '10.0.0.2': 100.2}
+        self.assertEqual(search.to_ask(restarted, 100.4), ['10.0.0.2'])
 
-    def test_the_last_answer_ends_it(self) -> None:
-        """No answer before needs a look at the others."""
+    def test_last_answer(self) -> None:
+        """Only the last outstanding answer ends the search."""
         search = Search(100, b'packet')
         search.to_ask(HOSTS, 100)
         self.assertFalse(search.note_absent('10.0.0.1'))
         self.assertTrue(search.note_absent('10.0.0.2'))
 
-    def test_silence_ends_the_wait(self) -> None:
-        """Sooner where a request may run again."""
+    def test_wait_for_silent_host(self) -> None:
+        """The wait is shorter if a request may run again."""
         for silent_s, repeatable, waits in (
             (0.5, True, True),
             (1.4, True, False),
@@ -37,7 +37,7 @@
             found = may_still_answer(silent_s, repeatable, 0.4)
             self.assertEqual(found, waits, (silent_s, repeatable))
 
-    def test_sidecars_that_speak_seldom(self) -> None:
-        """Load pattern: a hundred entries, each told every 1.2 s."""
+    def test_long_status_interval(self) -> None:
+        """Load pattern: a hundred entries with a status update every 1.2 s."""
         self.assertTrue(may_still_answer(2.5, True, 1.2))
         self.assertFalse(may_still_answer(5, True, 1.2))
--- a/tests/ingress/test_http.py
+++ b/tests/ingress/test_http.py
@@ -26,7 +26,7 @@
 LARGE = 3_000_000
 SERVICE = digest64('matcher')
 
-#: Raw requests that must not reach an upstream, and the status they get.
+#: Raw requests that must not reach an upstream.
 SMUGGLED = (
     b'POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 4\r\n'
     b'Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n',
@@ -47,7 +47,7 @@
 
 
 def make_head(number: int, **changed: Any) -> RequestHead:
-    """Return the head of a good request."""
+    """Return the head of a valid request."""
     fields = {
         'number': number,
         'service': SERVICE,
@@ -65,10 +65,10 @@
 
 
 class TestBodies(RequestCase):
-    """Bodies of any size, slow ones too."""
+    """Large and slow bodies."""
 
     async def test_large_both_ways(self) -> None:
-        """A large body comes back whole, chunked or with its length."""
+        """A large body is echoed whole, chunked or with its length."""
         body = bytes(range(250)) * (LARGE // 250)
 
         async def chunks() -> Any:
@@ -79,8 +79,8 @@
                 got = await self.post(rig.urls()[0], sent)  # type: ignore[arg-type]
                 self.assertEqual(got, ('answered', body))
 
-    async def test_slow_ones_block_nobody(self) -> None:
-        """A slow sender and a slow reader share the link with others."""
+    async def test_slow_bodies_do_not_block_others(self) -> None:
+        """Other requests pass a slow sender and a slow reader on one link."""
         async with running_rig(entries=1, hosts=1, slots=5) as rig:
             url = rig.urls()[0]
             go_on = asyncio.Event()
@@ -93,14 +93,14 @@
             sender = asyncio.create_task(self.post(url, slow()))  # type: ignore[arg-type]
             reading = await self.session.post(url, data=bytes(LARGE))
             for _ in range(20):
-                told, _body = await self.post(url, bytes(50_000))
-                self.assertEqual(told, 'answered')
+                outcome, _body = await self.post(url, bytes(50_000))
+                self.assertEqual(outcome, 'answered')
             go_on.set()
             self.assertEqual((await sender)[0], 'answered')
             self.assertEqual(len(await reading.read()), LARGE)
 
-    async def test_cut_answer_looks_cut(self) -> None:
-        """The caller's connection breaks; nothing looks whole."""
+    async def test_cut_answer_cuts_connection(self) -> None:
+        """The caller's connection is aborted, so that no answer looks whole."""
         async with running_rig(entries=1, hosts=1) as rig:
             host = rig.hosts['matcher-1']
             host.upstream.behaviour = Behaviour.cut
@@ -108,19 +108,19 @@
 
 
 class TestCancelling(RequestCase):
-    """Deadlines and callers that leave."""
+    """Deadlines and callers that disconnect."""
 
-    async def test_caller_leaves(self) -> None:
+    async def test_caller_disconnects(self) -> None:
         """The upstream's run is cancelled and its slot is free again."""
         async with running_rig(entries=1, hosts=1, slots=1) as rig:
             host = rig.hosts['matcher-1']
             await self.hang(rig, host)
             host.upstream.behaviour = Behaviour.answer
-            told, _body = await self.post(rig.urls()[0])
-            self.assertEqual(told, 'answered')
+            outcome, _body = await self.post(rig.urls()[0])
+            self.assertEqual(outcome, 'answered')
 
     async def hang(self, rig: RequestRig, host: RigHost) -> None:
-        """Start a request that hangs, and leave."""
+        """Start a request that hangs, and cancel it."""
         host.upstream.behaviour = Behaviour.hang
         caller = asyncio.create_task(self.post(rig.urls()[0]))
         await wait_until(lambda: host.upstream.runs.total())
@@ -128,25 +128,25 @@
         await wait_until(lambda: host.upstream.cancelled)
 
     async def test_deadline_reaches_the_upstream(self) -> None:
-        """It shrinks on the way, and ends a run that hangs."""
+        """The remaining time is passed on and ends a run that hangs."""
         async with running_rig(entries=1, hosts=1) as rig:
             host = rig.hosts['matcher-1']
             host.upstream.behaviour = Behaviour.hang
-            told, _body = await self.post(rig.urls()[0], deadline=0.5)
-            self.assertEqual(told, 'unknown')
+            outcome, _body = await self.post(rig.urls()[0], deadline=0.5)
+            self.assertEqual(outcome, 'unknown')
             given = float(host.upstream.headers[0]['Siskinbank-Deadline'])
             self.assertLess(given, 0.5)
             await wait_until(lambda: host.upstream.cancelled)
 
     async def test_expired(self) -> None:
-        """No time left: not run."""
+        """A request without time left is not run."""
         async with running_rig(entries=1, hosts=1) as rig:
-            told, _body = await self.post(rig.urls()[0], deadline=0)
-            self.assertEqual(told, 'not-run')
+            outcome, _body = await self.post(rig.urls()[0], deadline=0)
+            self.assertEqual(outcome, 'not-run')
             self.assertEqual(rig.hosts['matcher-1'].upstream.arrivals, 0)
 
     async def test_silent_host(self) -> None:
-        """Work that may run again goes past a host that is suspended."""
+        """Idempotent requests are retried if a host is suspended."""
         async with running_rig(entries=1, hosts=2) as rig:
             url = rig.urls()[0]
             rig.hosts['matcher-1'].link.pause()
@@ -157,26 +157,26 @@
             self.assertGreaterEqual(outcomes.count(('answered', b'body')), 3)
 
     async def test_full_host_refuses_and_never_runs_late(self) -> None:
-        """With all slots and places taken, the rest is refused at once."""
+        """With full slots and queue, further requests are refused."""
         async with running_rig(entries=1, hosts=1, slots=2) as rig:
             host = rig.hosts['matcher-1']
             host.upstream.work_seconds = 0.2
-            told = await asyncio.gather(
+            answers = await asyncio.gather(
                 *(
                     self.post(rig.urls()[0], key=f'k{number}')
                     for number in range(20)
                 ),
             )
-            counts = Counter(outcome for outcome, _body in told)
+            counts = Counter(outcome for outcome, _body in answers)
             self.assertEqual(counts, {'answered': 4, 'not-run': 16})
             self.assertEqual(host.upstream.arrivals, 4)
 
 
 class TestPlannedStops(RequestCase):
-    """A planned stop cuts nothing."""
+    """A planned stop cuts no requests."""
 
     async def test_entry(self) -> None:
-        """Open requests end well, and connections are closed after them."""
+        """Open requests are answered, then the connections are closed."""
         async with running_rig(entries=1, hosts=1) as rig:
             host = rig.hosts['matcher-1']
             host.upstream.work_seconds = 0.3
@@ -189,7 +189,7 @@
             self.assertEqual((await self.post(url))[0], 'lost')
 
     async def test_sidecar(self) -> None:
-        """It finishes what it has; new work goes elsewhere."""
+        """It finishes open requests; new ones go to other hosts."""
         async with running_rig(entries=1, hosts=2) as rig:
             url = rig.urls()[0]
             for host in rig.hosts.values():
@@ -200,7 +200,7 @@
             def all_arrived() -> bool:
                 return _arrivals(rig) >= len(callers)
 
-            # Hosts are drawn at random, so send until the first one works.
+            # Hosts are chosen at random: send until the first one has a request.
             while not first.arrivals:
                 callers.append(asyncio.create_task(self.post(url)))
                 await wait_until(all_arrived)
@@ -215,10 +215,10 @@
 
 
 class TestMalformed(RequestCase):
-    """Bad input is refused and counted; others are unharmed."""
+    """Invalid input is refused and counted; other requests succeed."""
 
-    async def test_smuggled(self) -> None:
-        """A bad request gets a 4xx answer and reaches no upstream."""
+    async def test_request_smuggling(self) -> None:
+        """An invalid request gets a 4xx answer and reaches no upstream."""
         async with running_rig(entries=1, hosts=1) as rig:
             address = rig.entries[0].address
             for raw in SMUGGLED:
@@ -235,8 +235,8 @@
             metrics = rig.entries[0].process.metrics
             self.assertEqual(metrics.total('refusal'), len(SMUGGLED))
 
-    async def test_bad_messages(self) -> None:
-        """Bad heads, numbers and parts harm only their own request."""
+    async def test_invalid_messages(self) -> None:
+        """Invalid heads, numbers and parts affect only their own request."""
         async with running_rig(entries=1, hosts=1) as rig:
             host = rig.hosts['matcher-1']
             stream = await self.open_stream(host)
@@ -273,7 +273,7 @@
             stream.writer.close()
 
     async def test_body_out_of_order(self) -> None:
-        """A request whose body is wrong fails; its neighbour does not."""
+        """A request with a malformed body fails; another one succeeds."""
         async with running_rig(entries=1, hosts=1) as rig:
             host = rig.hosts['matcher-1']
             stream = await self.open_stream(host)
@@ -288,7 +288,7 @@
             stream.writer.close()
 
     async def open_stream(self, host: RigHost) -> MessageStream:
-        """Connect to a sidecar as an entry does."""
+        """Open a request link to a sidecar, as an entry does."""
         connection = await asyncio.open_connection(*host.sidecar_address)
         stream = MessageStream(*connection)
         await stream.send(OpenRequests('test'))
@@ -313,10 +313,10 @@
 
 
 class TestProblems(RequestCase):
-    """What callers are told."""
+    """Problem documents sent to callers."""
 
     async def test_documents(self) -> None:
-        """Status, outcome, reason and Retry-After."""
+        """Documents have status, outcome, reason and Retry-After."""
         async with running_rig(entries=1, hosts=1) as rig:
             url = rig.urls()[0]
             rig.hosts['matcher-1'].state = 'draining'
@@ -347,7 +347,7 @@
         problem: dict[str, Any],
         wanted: tuple[str, str],
     ) -> None:
-        """Check the document's form."""
+        """Check the fields of a problem document."""
         self.assertEqual(got.content_type, 'application/problem+json')
         self.assertEqual((problem['outcome'], problem['reason']), wanted)
         self.assertEqual(
--- a/tests/request_case.py
+++ b/tests/request_case.py
@@ -1,4 +1,4 @@
-"""What tests of the request path have in common."""
+"""Base class and fixtures of the tests of the request path."""
 
 import contextlib
 import random
@@ -27,7 +27,7 @@
     hosts: int = 2,
     slots: int = 3,
 ) -> AsyncIterator[RequestRig]:
-    """Start a rig whose hosts may vouch for keys."""
+    """Run a rig in which the primary hosts of keys are settled."""
     rig = RequestRig(random.Random(1), slots)
     await rig.start(entries, hosts)
     rig.skew += SETTLE_SECONDS + 1
@@ -38,7 +38,7 @@
 
 
 class RequestCase(unittest.IsolatedAsyncioTestCase):
-    """A test with a session of its own."""
+    """Base class of tests with an HTTP client session."""
 
     async def asyncSetUp(self) -> None:  # noqa: N802
         """Open the session."""
@@ -54,7 +54,7 @@
         deadline: float = 4,
         **headers: str,
     ) -> Answer:
-        """Return outcome and body; ``lost`` for a broken connection."""
+        """Return outcome and body; ``lost`` if the connection was cut."""
         given = {DEADLINE_HEADER: str(deadline)}
         if key:
             given[KEY_HEADER] = key
@@ -74,7 +74,7 @@
             return 'lost', b''
 
     async def take_ticket(self, url: str, key: str = '') -> str:
-        """Return a new ticket."""
+        """Request a ticket and return it."""
         headers = {TICKET_HEADER: 'new', KEY_HEADER: key}
         if not key:
             headers.pop(KEY_HEADER)
@@ -83,7 +83,7 @@
             return answer.headers[TICKET_HEADER]
 
     def runs(self, rig: RequestRig, key: str) -> int:
-        """Return how often a key ran anywhere."""
+        """Return how often a key ran on all hosts."""
         return sum(host.upstream.runs[key] for host in rig.hosts.values())
 
     def ran_at(self, rig: RequestRig, key: str) -> RigHost:
