--- a/siskinbank/directory/backoff.py
+++ b/siskinbank/directory/backoff.py
@@ -1,27 +1,27 @@
-"""Wait longer after each failure."""
+"""Exponential backoff for reads of the platform."""
 
 import random
 
 __all__ = ('Backoff',)
 
-_FIRST_BACKOFF_SECONDS = 0.2
+_MIN_BACKOFF_SECONDS = 0.2
 _MAX_BACKOFF_SECONDS = 10
 
 
 class Backoff:
-    """Waits longer after each failure, up to a bound, with jitter."""
+    """Exponential backoff with jitter and an upper limit."""
 
     def __init__(self, rng: random.Random) -> None:
-        """Start with the shortest wait; ``rng`` draws the jitter."""
+        """Initialize with the shortest delay; ``rng`` draws the jitter."""
         self._rng = rng
-        self._seconds = _FIRST_BACKOFF_SECONDS
+        self._seconds = _MIN_BACKOFF_SECONDS
 
     def reset(self) -> None:
-        """Start again after a success."""
-        self._seconds = _FIRST_BACKOFF_SECONDS
+        """Return to the shortest delay after a success."""
+        self._seconds = _MIN_BACKOFF_SECONDS
 
     def next(self) -> float:
-        """Return the seconds to wait after a failure."""
+        """Return the seconds to wait after a failure, and double the delay."""
         seconds = self._seconds * self._rng.uniform(0.5, 1.5)
         self._seconds = min(self._seconds * 2, _MAX_BACKOFF_SECONDS)
         return seconds
--- a/siskinbank/directory/beliefs.py
+++ b/siskinbank/directory/beliefs.py
@@ -1,46 +1,55 @@
-"""Which hosts are gone: what list and silence say together."""
+"""Failure detection: which instances are gone.
 
-from siskinbank.peers.ages import Ages
+It combines the live list with the time for which an instance was silent.
+"""
+
+from siskinbank.peers.ages import DataCentreAges
 from siskinbank.directory.roster import Listing, Record, Roster
-from siskinbank.directory.words import WordBook
+from siskinbank.directory.member_status import MemberStatusTable
 
 __all__ = ('find_gone',)
 
-#: A silent host that the list omits is gone after this many seconds.
-AGREED_SECONDS = 5
-#: A silent host is gone after this many seconds whatever the list says.
+#: Seconds after which a silent host that the live list omits is gone.
+OMITTED_GONE_SECONDS = 5
+#: Seconds after which a silent host is gone, whatever the live list says.
 EVIDENCE_SECONDS = 15
 
 
 def find_gone(
     roster: Roster,
-    words: WordBook,
-    ages: Ages,
+    statuses: MemberStatusTable,
+    ages: DataCentreAges,
     now: float,
 ) -> frozenset[str]:
     """Return the instances that are gone.
 
-    An instance is silent when a neighbour on its ring said so and it has not
-    taken that back, or when nobody hears its whole data centre. The list's
-    word alone makes none gone.
+    An instance is silent if a neighbour on its ring has reported it and it
+    has not refuted the report, or if no process receives anything from its
+    whole data centre. An instance is never gone because of the live list
+    alone.
     """
     gone = [
         name
-        for name, seconds in words.silent(now).items()
+        for name, seconds in statuses.silent(now).items()
         if _is_gone(roster.get(name), seconds)
     ]
     for centre in ages.centres:
-        silence = ages.silence(centre, now)
-        if silence is not None and silence >= AGREED_SECONDS:
+        silent_seconds = ages.silent_for(centre, now)
+        if (
+            silent_seconds is not None
+            and silent_seconds >= OMITTED_GONE_SECONDS
+        ):
             ring = roster.index().rings.get(centre, ())
             gone.extend(
-                record.name for record in ring if _is_gone(record, silence)
+                record.name
+                for record in ring
+                if _is_gone(record, silent_seconds)
             )
     return frozenset(gone)
 
 
-def _is_gone(record: Record | None, silence: float) -> bool:
-    if silence >= EVIDENCE_SECONDS:
+def _is_gone(record: Record | None, silent_seconds: float) -> bool:
+    if silent_seconds >= EVIDENCE_SECONDS:
         return True
     absent = record is None or record.listing == Listing.absent
-    return absent and silence >= AGREED_SECONDS
+    return absent and silent_seconds >= OMITTED_GONE_SECONDS
--- a/siskinbank/directory/client.py
+++ b/siskinbank/directory/client.py
@@ -13,13 +13,13 @@
 __all__ = ('PlatformClient', 'PlatformError')
 
 MAX_VALUE_BYTES = 1024 * 1024
-_READ_SECONDS = 5
+_READ_TIMEOUT_SECONDS = 5
 _LIST_PATH = '/v1/instances'
 _WATCH_SECONDS = 30
 
 
 class PlatformError(Exception):
-    """The platform did not answer, or not with what it should."""
+    """The platform did not answer, or sent an invalid answer."""
 
 
 class _ManifestModel(BaseModel):
@@ -30,10 +30,15 @@
 
 
 class PlatformClient:
-    """One process's connection to the platform; it only reads."""
+    """A read-only client of the platform.
+
+    Attributes:
+        list_octets: Size in bytes of the last transfer of the live list; 0 if
+            the list was unchanged.
+    """
 
     def __init__(self, url: str) -> None:
-        """Read from the service at ``url``."""
+        """Initialize with the URL of the service; connects at the first read."""
         self._url = url.rstrip('/')
         self._session: aiohttp.ClientSession | None = None
         self._instances: list[Instance] | None = None
@@ -44,36 +49,36 @@
         """Return the published generation and digests.
 
         Raises:
-            PlatformError: no valid answer.
+            PlatformError: There was no valid answer.
         """
         return _parse_manifest(await self._get('/v1/manifest') or b'')
 
     async def watch(self, after: int) -> Manifest:
-        """Wait for a generation other than ``after``, or for the time-out.
+        """Wait for a generation other than ``after``, or for the timeout.
 
         Raises:
-            PlatformError: no valid answer.
+            PlatformError: There was no valid answer.
         """
         path = f'/v1/manifest?after={after}&wait={_WATCH_SECONDS}'
-        raw = await self._get(path, _WATCH_SECONDS + _READ_SECONDS)
+        raw = await self._get(path, _WATCH_SECONDS + _READ_TIMEOUT_SECONDS)
         return _parse_manifest(raw or b'')
 
     async def section(self, name: str, digest: str) -> bytes:
-        """Return the bytes of one section that has this digest.
+        """Return the bytes of the section with this digest.
 
         Raises:
-            PlatformError: no answer, or another content.
+            PlatformError: There was no answer, or the digest differs.
         """
         raw = await self._get(f'/v1/sections/{name}') or b''
         if hex_digest(raw) != digest:
-            raise PlatformError(f'section {name} has another digest')
+            raise PlatformError(f'section {name} does not match its digest')
         return raw
 
     async def instances(self) -> list[Instance]:
-        """Return the live list; parsed again only if it has changed.
+        """Return the live list; it is parsed only if it has changed.
 
         Raises:
-            PlatformError: no valid answer.
+            PlatformError: There was no valid answer.
         """
         raw = await self._get(_LIST_PATH, tag=self._list_tag)
         if raw is None and self._instances is not None:
@@ -93,25 +98,25 @@
     async def _get(
         self,
         path: str,
-        seconds: float = _READ_SECONDS,
+        seconds: float = _READ_TIMEOUT_SECONDS,
         tag: str | None = None,
     ) -> bytes | None:
-        """Return a value; None when it still has the entity tag ``tag``."""
+        """Return a value, or None if it still has the entity tag ``tag``."""
         if self._session is None:
             self._session = aiohttp.ClientSession()
-        asked: dict[str, Any] = {
+        options: dict[str, Any] = {
             'timeout': aiohttp.ClientTimeout(total=seconds),
             'headers': {'If-None-Match': tag} if tag else {},
         }
         url = f'{self._url}{path}'
         try:
-            async with self._session.get(url, **asked) as answer:
-                if tag and answer.status == HTTPStatus.NOT_MODIFIED:
+            async with self._session.get(url, **options) as response:
+                if tag and response.status == HTTPStatus.NOT_MODIFIED:
                     return None
-                answer.raise_for_status()
-                raw = await _read_bounded(answer.content)
+                response.raise_for_status()
+                raw = await _read_bounded(response.content)
                 if path == _LIST_PATH:
-                    self._note_list(answer, raw)
+                    self._record_list_response(response, raw)
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
             reason = str(error) or type(error).__name__
             raise PlatformError(f'{path}: {reason}') from error
@@ -119,14 +124,16 @@
             raise PlatformError(f'{path}: more than {MAX_VALUE_BYTES} bytes')
         return raw
 
-    def _note_list(self, answer: aiohttp.ClientResponse, raw: bytes) -> None:
-        """Note the list's tag and what it took to transfer."""
-        self._list_tag = answer.headers.get('ETag', '')
-        self.list_octets = answer.content_length or len(raw)
+    def _record_list_response(
+        self, response: aiohttp.ClientResponse, raw: bytes
+    ) -> None:
+        """Store the list's entity tag and transfer size."""
+        self._list_tag = response.headers.get('ETag', '')
+        self.list_octets = response.content_length or len(raw)
 
 
 async def _read_bounded(content: aiohttp.StreamReader) -> bytes:
-    """Read up to one byte more than a value may have."""
+    """Read at most one byte more than the size limit of a value."""
     raw = bytearray()
     while not content.at_eof() and len(raw) <= MAX_VALUE_BYTES:
         raw += await content.read(MAX_VALUE_BYTES + 1 - len(raw))
--- a/siskinbank/directory/follower.py
+++ b/siskinbank/directory/follower.py
@@ -1,4 +1,7 @@
-"""Read the platform where this process's rank asks for it."""
+"""Follow the platform's configuration and live list.
+
+Only processes whose rank makes them readers read the platform regularly.
+"""
 
 import asyncio
 import random
@@ -20,16 +23,16 @@
 
 __all__ = ('Follower',)
 
-_LOOK_SECONDS = 0.5
+_RANK_CHECK_SECONDS = 0.5
 _JOIN_POLL_SECONDS = 0.1
-_LEAST_WAIT_SECONDS = 0.2
-_MOST_WAIT_SECONDS = 1.5
-#: Bytes a second that one reader may spend on the live list.
-_LIST_RATE = 20_000
+_MIN_START_DELAY_SECONDS = 0.2
+_MAX_START_DELAY_SECONDS = 1.5
+#: Limit on one reader's transfers of the live list.
+_LIST_BYTES_PER_SECOND = 20_000
 
 
 class Follower:
-    """Reads changed sections and the live list and feeds the gossip."""
+    """Reads changed sections and the live list and passes them to gossip."""
 
     def __init__(
         self,
@@ -38,30 +41,36 @@
         log: events.EventLog,
         metrics: Metrics,
     ) -> None:
-        """Feed ``gossip`` from ``client``."""
+        """Initialize; what ``client`` reads is passed to ``gossip``."""
         self._client = client
         self._gossip = gossip
         self._log = log
         self._metrics = metrics
-        self._lists = ListReader(lambda: gossip.now)
+        self._list_reader = ListReader(lambda: gossip.now)
         self._rng = random.Random()
         self._reading = False
-        self._alone = False
-        self._held = False
-        self._lost = False
+        self._unlisted = False
+        self._omissions_held = False
+        self._platform_lost = False
 
     async def run(self) -> None:
-        """Join, then follow until cancelled."""
+        """Join the fleet, then follow the platform until cancelled."""
         await self._join()
         async with asyncio.TaskGroup() as group:
             group.create_task(self._follow_configuration())
             group.create_task(self._follow_instances())
 
     async def _join(self) -> None:
-        """Learn of peers, and ask them before the platform is believed."""
+        """Discover peers, and wait for their answers.
+
+        Peers are asked before the platform is trusted, since the platform may
+        be stale.
+        """
         backoff = Backoff(self._rng)
-        wait = self._rng.uniform(_LEAST_WAIT_SECONDS, _MOST_WAIT_SECONDS)
-        await asyncio.sleep(wait)
+        start_delay = self._rng.uniform(
+            _MIN_START_DELAY_SECONDS, _MAX_START_DELAY_SECONDS
+        )
+        await asyncio.sleep(start_delay)
         while not len(self._gossip.roster) and not self._has_configuration():
             if await self._read_list():
                 break
@@ -85,7 +94,7 @@
         if reading and not self._reading:
             self._log.write(events.READING, rank=rank)
         self._reading = reading
-        self._alone = rank is None and not self._has_configuration()
+        self._unlisted = rank is None and not self._has_configuration()
         return read_interval(
             rank,
             gossip.read_age,
@@ -93,40 +102,40 @@
             self._rng,
         )
 
-    async def _turn(self) -> float:
-        """Wait until this process is to read; return the interval.
+    async def _wait_for_turn(self) -> float:
+        """Wait until this process is to read, and return the interval.
 
-        Whoever falls back waits for its interval first: readers may have
-        come back by then.
+        A fallback process first waits for its interval, since the readers may
+        have recovered by then.
         """
         while True:
             interval = self._interval()
-            if interval is not None and (self._reading or self._alone):
+            if interval is not None and (self._reading or self._unlisted):
                 return interval
-            await asyncio.sleep(interval or _LOOK_SECONDS)
+            await asyncio.sleep(interval or _RANK_CHECK_SECONDS)
             if interval is not None and self._interval() is not None:
                 return interval
 
     async def _follow_configuration(self) -> None:
         backoff = Backoff(self._rng)
-        seen = 0
+        last_generation = 0
         while True:
-            await self._turn()
+            await self._wait_for_turn()
             try:
                 if self._reading:
-                    manifest = await self._client.watch(seen)
+                    manifest = await self._client.watch(last_generation)
                 else:
                     manifest = await self._client.manifest()
-                await self._take(manifest)
+                await self._fetch_document(manifest)
             except PlatformError as error:
-                self._note_lost(error)
+                self._note_failure(error)
                 await asyncio.sleep(backoff.next())
                 continue
-            self._note_served()
-            seen = manifest.generation
+            self._note_success()
+            last_generation = manifest.generation
             backoff.reset()
 
-    async def _take(self, manifest: Manifest) -> None:
+    async def _fetch_document(self, manifest: Manifest) -> None:
         store = self._gossip.store
         key = manifest.key
         if not store.wants(key):
@@ -141,12 +150,14 @@
     async def _follow_instances(self) -> None:
         backoff = Backoff(self._rng)
         while True:
-            await self._turn()
+            await self._wait_for_turn()
             if await self._read_list():
                 backoff.reset()
-                cost = self._client.list_octets / _LIST_RATE
-                least = max(READERS * READ_SECONDS, cost)
-                await asyncio.sleep(least * self._rng.uniform(0.8, 1.2))
+                transfer_seconds = (
+                    self._client.list_octets / _LIST_BYTES_PER_SECOND
+                )
+                min_interval = max(READERS * READ_SECONDS, transfer_seconds)
+                await asyncio.sleep(min_interval * self._rng.uniform(0.8, 1.2))
             else:
                 await asyncio.sleep(backoff.next())
 
@@ -154,24 +165,24 @@
         try:
             instances = await self._client.instances()
         except PlatformError as error:
-            self._note_lost(error)
+            self._note_failure(error)
             return False
-        self._note_served()
-        news = self._lists.read(instances, self._gossip.roster)
-        if self._lists.held:
+        self._note_success()
+        newer = self._list_reader.read(instances, self._gossip.roster)
+        if self._list_reader.held:
             self._metrics.count(Ignored.list_held)
-            if not self._held:
+            if not self._omissions_held:
                 self._log.write(events.LIST_HELD, listed=len(instances))
-        self._held = self._lists.held
-        self._gossip.take_records(news)
+        self._omissions_held = self._list_reader.held
+        self._gossip.take_records(newer)
         return True
 
-    def _note_served(self) -> None:
-        self._lost = False
+    def _note_success(self) -> None:
+        self._platform_lost = False
         self._gossip.note_read()
 
-    def _note_lost(self, error: PlatformError) -> None:
-        """Log the first failure of a row."""
-        if not self._lost:
+    def _note_failure(self, error: PlatformError) -> None:
+        """Log the first of several consecutive failures."""
+        if not self._platform_lost:
             self._log.write(events.PLATFORM_LOST, error=error)
-        self._lost = True
+        self._platform_lost = True
--- a/siskinbank/directory/live.py
+++ b/siskinbank/directory/live.py
@@ -1,4 +1,4 @@
-"""The platform's lagging list of instances."""
+"""The platform's live list of instances; it may lag behind reality."""
 
 import enum
 from dataclasses import dataclass
@@ -12,14 +12,14 @@
 
 
 class Role(enum.StrEnum):
-    """What an instance runs."""
+    """The kind of process that an instance runs."""
 
     entry = 'entry'
     sidecar = 'sidecar'
 
 
 class InstanceState(enum.StrEnum):
-    """What the platform says of an instance."""
+    """The state of an instance in the live list."""
 
     live = 'live'
     leaving = 'leaving'
@@ -51,15 +51,17 @@
 
 
 def parse_instances(raw: bytes) -> list[Instance]:
-    """Read the published list.
+    """Parse the published live list.
 
     Raises:
-        ValueError: the list is malformed.
+        ValueError: The list is malformed.
     """
     try:
         models = _LIST.validate_json(raw)
     except ValidationError as error:
-        raise ValueError(f'bad live list: {error.error_count()}') from error
+        raise ValueError(
+            f'bad live list: {error.error_count()} errors'
+        ) from error
     return [
         Instance(
             model.name,
--- a/siskinbank/directory/roster.py
+++ b/siskinbank/directory/roster.py
@@ -1,9 +1,10 @@
 """The roster: the listed instances in a form that peers can compare.
 
-Records are kept in buckets by a hash of the instance's name. Two processes
-compare the digests of their buckets and exchange only those that differ. A
-record with a higher version replaces one with a lower version; of two with
-the same version the one with the higher content wins, everywhere alike.
+Records are grouped into buckets by a hash of the instance's name. Two
+processes compare the digests of their buckets and exchange only the buckets
+that differ. A record with a higher version replaces one with a lower version.
+Of two records with the same version the one that sorts higher wins, so that
+all processes make the same choice.
 """
 
 import functools
@@ -34,15 +35,15 @@
 
 BUCKETS = 128
 BUCKET_DIGEST_BYTES = 6
-_ROOT_BYTES = 8
-_MAX_VERSION = 1 << 48
+_ROOT_DIGEST_BYTES = 8
+_VERSION_LIMIT = 1 << 48
 _PACKED_ADDRESS_BYTES = 6
 _FIELDS = 6
 _ROLES = frozenset(Role)
 
 
 class Listing:
-    """What the list says of an instance, as the numbers that records carry."""
+    """The listed state of an instance, as the numbers used in records."""
 
     live = 0
     leaving = 1
@@ -51,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class Record:
-    """One instance as it was last listed; field order decides ties."""
+    """An instance as last listed; field order decides which one is newer."""
 
     version: int
     listing: int
@@ -62,12 +63,12 @@
 
     @property
     def address(self) -> Address:
-        """The instance's address for the system's own processes."""
+        """The address at which other siskinbank processes reach the instance."""
         return unpack_address(self.packed)
 
     @property
     def parts(self) -> list[Any]:
-        """The record as messages carry it."""
+        """The record in its message form."""
         return [
             self.version,
             self.listing,
@@ -78,13 +79,13 @@
         ]
 
     @property
-    def said(self) -> tuple[int, str, str, bytes]:
-        """What the list says, without the version."""
+    def content(self) -> tuple[int, str, str, bytes]:
+        """The listed fields, without version and name."""
         return self.listing, self.role, self.data_centre, self.packed
 
     @property
     def instance(self) -> Instance:
-        """The record as a line of the live list."""
+        """The record as an entry of the live list."""
         leaving = self.listing == Listing.leaving
         return Instance(
             self.name,
@@ -109,11 +110,11 @@
 
 
 def parse_record(parts: Any) -> Record | None:
-    """Read a record of a message; None when it is malformed."""
+    """Parse a record of a message; return None if it is malformed."""
     if not isinstance(parts, list) or len(parts) != _FIELDS:
         return None
     version, listing, name, role, centre, packed = parts
-    if not (is_number(version, _MAX_VERSION) and is_number(listing, 3)):
+    if not (is_number(version, _VERSION_LIMIT) and is_number(listing, 3)):
         return None
     if not (is_name(name) and is_name(centre) and is_name(role)):
         return None
@@ -126,10 +127,13 @@
 
 @dataclass(frozen=True)
 class RosterIndex:
-    """What is worked out of a roster: peers, and rings by data centre.
+    """An index derived from a roster.
 
-    ``rings`` holds the records of each data centre in the order of their
-    names' hashes; both leave nobody out, whatever the list says.
+    Attributes:
+        records: All records, ordered by the hash of their names.
+        rings: The records of each data centre in the same order. Like
+            ``records`` it includes leaving and absent instances.
+        leaving: The names of the instances that are listed as leaving.
     """
 
     records: tuple[Record, ...]
@@ -149,21 +153,24 @@
         ).digest()
 
 
-_EMPTY = _Bucket({})
+_EMPTY_BUCKET = _Bucket({})
 
 
 class Roster:
-    """All records; a change makes a new roster that shares the rest."""
+    """An immutable set of records; changes create a new roster.
+
+    The new roster shares unchanged buckets with the old one.
+    """
 
     __slots__ = ('_buckets', '_root', '_size')
 
     def __init__(self, buckets: tuple[_Bucket, ...] | None = None) -> None:
-        """Start empty, or from buckets of another roster."""
-        self._buckets = buckets or (_EMPTY,) * BUCKETS
+        """Create an empty roster, or one with the given buckets."""
+        self._buckets = buckets or (_EMPTY_BUCKET,) * BUCKETS
         self._size = sum(len(bucket.records) for bucket in self._buckets)
         self._root = hashlib.blake2b(
             self.digests,
-            digest_size=_ROOT_BYTES,
+            digest_size=_ROOT_DIGEST_BYTES,
         ).digest()
 
     def __len__(self) -> int:
@@ -171,7 +178,7 @@
         return self._size
 
     def __iter__(self) -> Iterator[Record]:
-        """Go through all records."""
+        """Iterate over all records."""
         for bucket in self._buckets:
             yield from bucket.records.values()
 
@@ -195,7 +202,7 @@
 
     @property
     def digests(self) -> bytes:
-        """The digests of all buckets, one after the other."""
+        """The concatenated digests of all buckets."""
         return b''.join(bucket.digest for bucket in self._buckets)
 
     def get(self, name: str) -> Record | None:
@@ -207,7 +214,7 @@
         return list(self._buckets[index].records.values())
 
     def differing(self, digests: bytes) -> list[int]:
-        """Return the buckets whose digests are others than these."""
+        """Return the indexes of the buckets whose digests differ."""
         size = BUCKET_DIGEST_BYTES
         return [
             index
@@ -218,25 +225,25 @@
     def merged(
         self, offered: Iterable[Record]
     ) -> tuple['Roster', list[Record]]:
-        """Return a roster with what is newer, and the records that were."""
-        best: dict[str, Record] = {}
+        """Return a roster with the newer records, and those records."""
+        newest: dict[str, Record] = {}
         for record in offered:
-            rival = best.get(record.name) or self.get(record.name)
-            if rival is None or record > rival:
-                best[record.name] = record
-        news = list(best.values())
-        if not news:
-            return self, news
-        return self._replace(best), news
+            current = newest.get(record.name) or self.get(record.name)
+            if current is None or record > current:
+                newest[record.name] = record
+        newer = list(newest.values())
+        if not newer:
+            return self, newer
+        return self._replace(newest), newer
 
     def without(self, names: Iterable[str]) -> 'Roster':
-        """Return a roster that has forgotten instances."""
+        """Return a roster without the named instances."""
         return self._replace(dict.fromkeys(names))
 
     @functools.lru_cache(maxsize=4)  # noqa: B019
     def index(self) -> RosterIndex:
-        """Return the peers and rings; kept for the last few rosters."""
-        ordered = tuple(sorted(self, key=_ring_place))
+        """Return the index; cached for the last few rosters."""
+        ordered = tuple(sorted(self, key=_ring_position))
         rings: dict[str, list[Record]] = {}
         for placed in ordered:
             rings.setdefault(placed.data_centre, []).append(placed)
@@ -249,7 +256,7 @@
         return RosterIndex(ordered, frozen, leaving)
 
     def _replace(self, records: Mapping[str, Record | None]) -> 'Roster':
-        """Return a roster with other records; None forgets one."""
+        """Return a roster with replaced records; None removes a record."""
         changed: dict[int, dict[str, Record]] = {}
         for name, record in records.items():
             index = bucket_of(name)
@@ -260,21 +267,21 @@
             else:
                 changed[index][name] = record
         buckets = list(self._buckets)
-        for place, kept in changed.items():
-            buckets[place] = _Bucket(kept)
+        for bucket_index, bucket_records in changed.items():
+            buckets[bucket_index] = _Bucket(bucket_records)
         return Roster(tuple(buckets))
 
 
 @functools.lru_cache(maxsize=8192)
 def ring_key(name: str) -> int:
-    """Return an instance's place on the ring of its data centre."""
+    """Return an instance's position on the ring of its data centre."""
     return digest64(name)
 
 
-def _ring_place(record: Record) -> int:
+def _ring_position(record: Record) -> int:
     return ring_key(record.name)
 
 
 def bucket_of(name: str) -> int:
-    """Return the bucket that holds an instance's record."""
+    """Return the index of the bucket of an instance's record."""
     return ring_key(name) % BUCKETS
--- a/siskinbank/directory/store.py
+++ b/siskinbank/directory/store.py
@@ -1,9 +1,10 @@
-"""The published documents that a process holds, and which is in force.
+"""The configuration documents of a process, and which one is in force.
 
-Sections and manifests are kept compressed under their digests, as peers pass
-them on. The document with the highest key (generation, then digest) that is
-valid is in force; nothing with a lower key than any that a peer had in force
-is taken, so that a stale platform cannot turn a new process back.
+Sections and manifests are stored compressed by digest, in the form in which
+peers transfer them. The valid document with the highest key (generation, then
+digest) is in force. Documents with a lower key than any that a peer has in
+force are ignored, so that a stale platform cannot make a new process adopt an
+older generation.
 """
 
 import json
@@ -27,14 +28,14 @@
 __all__ = ('NOTHING', 'DocumentStore', 'Judge', 'judge_document')
 
 MAX_VALUE_BYTES = 1024 * 1024
-_COMPRESSION = 6
+_COMPRESSION_LEVEL = 6
 
-#: The key of having nothing.
+#: The key when there is no document.
 NOTHING: DocumentKey = (0, b'')
 
 #: Returns the bytes of a section by its name.
 ReadSection = Callable[[str], bytes]
-#: Makes the site of a manifest and its sections, or adds findings.
+#: Builds the site of a manifest and its sections, or adds findings.
 Judge = Callable[[Manifest, ReadSection, Findings], Site | None]
 
 
@@ -43,7 +44,7 @@
     read_section: ReadSection,
     findings: Findings,
 ) -> Site | None:
-    """Parse and check all sections of a document."""
+    """Parse and validate all sections of a document."""
     parsed: dict[str, Any] = {}
     for name in manifest.sections:
         try:
@@ -57,7 +58,7 @@
 
 
 class DocumentStore:
-    """Compressed documents by digest, and the manifest in force."""
+    """Compressed documents by digest, and the key in force."""
 
     def __init__(
         self,
@@ -65,14 +66,14 @@
         metrics: Metrics,
         judge: Judge = judge_document,
     ) -> None:
-        """Start with nothing."""
+        """Create an empty store; ``judge`` validates documents."""
         self._log = log
         self._metrics = metrics
         self._judge = judge
         self._blobs: dict[bytes, bytes] = {}
         self._manifests: dict[bytes, Manifest] = {}
-        self._conflicts: set[int] = set()
-        self._older: DocumentKey = NOTHING
+        self._logged_conflicts: set[int] = set()
+        self._last_older: DocumentKey = NOTHING
         self.in_force: DocumentKey = NOTHING
         self.refused: DocumentKey = NOTHING
         self.floor: DocumentKey = NOTHING
@@ -83,26 +84,26 @@
         return self._blobs.get(digest)
 
     def put_raw(self, raw: bytes) -> None:
-        """Keep a document that was read from the platform."""
+        """Store a document that was read from the platform."""
         digest = bytes.fromhex(hex_digest(raw))
-        self._blobs[digest] = zlib.compress(raw, _COMPRESSION)
+        self._blobs[digest] = zlib.compress(raw, _COMPRESSION_LEVEL)
 
     def put_blob(self, digest: bytes, blob: bytes) -> bool:
-        """Keep a document that a peer passed on, if its digest is right."""
-        raw = _decompress(blob)
+        """Store a document that a peer sent; return False on a wrong digest."""
+        raw = _decompress_bounded(blob)
         if raw is None or hex_digest(raw) != digest.hex():
             return False
         self._blobs[digest] = blob
         return True
 
     def copy_from(self, other: 'DocumentStore') -> None:
-        """Hold what another store of this process holds."""
+        """Copy the contents of another store of this process."""
         self._blobs = dict(other._blobs)  # noqa: SLF001
         self._manifests = dict(other._manifests)  # noqa: SLF001
         self.in_force = other.in_force
 
     def wants(self, key: DocumentKey) -> bool:
-        """Whether a document would replace the one in force."""
+        """Return whether a document would replace the one in force."""
         if key == self.refused or key <= self.in_force:
             self._note_unwanted(key)
             return False
@@ -114,14 +115,14 @@
         return key[0] > 0
 
     def raise_floor(self, key: DocumentKey) -> None:
-        """Take nothing lower than what a peer has in force."""
+        """Ignore documents with a lower key than a peer has in force."""
         self.floor = max(self.floor, key)
 
     def missing(self, key: DocumentKey) -> list[bytes]:
-        """Return the digests that are still needed for a document.
+        """Return the digests that a document still lacks.
 
         Raises:
-            ValueError: what is held under the digest is no manifest.
+            ValueError: The blob with this digest is no manifest of the document.
         """
         manifest = self._manifest(key)
         if manifest is None:
@@ -130,13 +131,15 @@
         return [digest for digest in needed if digest not in self._blobs]
 
     def try_adopt(self, key: DocumentKey) -> Site | None:
-        """Judge a complete document; return its site if it is in force now."""
+        """Validate a complete document; return its site if it is adopted."""
         manifest = self._manifest(key)
         if manifest is None or not self.wants(key):
             return None
 
         def read_section(name: str) -> bytes:
-            return _raw(self._blobs[bytes.fromhex(manifest.sections[name])])
+            return _decompress_trusted(
+                self._blobs[bytes.fromhex(manifest.sections[name])]
+            )
 
         findings = Findings()
         site = self._judge(manifest, read_section, findings)
@@ -148,7 +151,7 @@
         return site
 
     def refuse(self, key: DocumentKey, wrong: str) -> None:
-        """Refuse a document that cannot even be read."""
+        """Refuse a document that cannot be parsed."""
         findings = Findings()
         place = Place(f'generation-{key[0]}')
         findings.add(place, wrong, 'publish it again')
@@ -170,8 +173,8 @@
             self._note_older(key)
 
     def _note_older(self, key: DocumentKey) -> None:
-        if key[0] and key != self._older:
-            self._older = key
+        if key[0] and key != self._last_older:
+            self._last_older = key
             self._log.write(
                 events.OLDER,
                 offered=key[0],
@@ -182,8 +185,8 @@
         if key == self.in_force or not key[0]:
             return
         self._metrics.count(Ignored.conflict)
-        if key[0] not in self._conflicts:
-            self._conflicts.add(key[0])
+        if key[0] not in self._logged_conflicts:
+            self._logged_conflicts.add(key[0])
             self._log.write(
                 events.CONFLICT,
                 generation=key[0],
@@ -191,20 +194,20 @@
             )
 
     def _manifest(self, key: DocumentKey) -> Manifest | None:
-        known = self._manifests.get(key[1])
-        if known is not None:
-            return known
+        cached = self._manifests.get(key[1])
+        if cached is not None:
+            return cached
         blob = self._blobs.get(key[1])
         if blob is None:
             return None
-        manifest = parse_manifest(_raw(blob))
+        manifest = parse_manifest(_decompress_trusted(blob))
         if manifest.key != key:
-            raise ValueError('the manifest is of another generation')
+            raise ValueError('the manifest belongs to another generation')
         self._manifests[key[1]] = manifest
         return manifest
 
     def _prune(self) -> None:
-        """Forget what neither the one in force nor the refused one needs."""
+        """Remove blobs that neither the document in force nor the refused uses."""
         kept = {self.in_force[1], self.refused[1]}
         self._manifests = {
             digest: manifest
@@ -220,15 +223,15 @@
         }
 
 
-def _decompress(blob: bytes) -> bytes | None:
-    """Decompress at most one value's size."""
-    worker = zlib.decompressobj()
+def _decompress_bounded(blob: bytes) -> bytes | None:
+    """Decompress up to the size limit of a value; return None on failure."""
+    decompressor = zlib.decompressobj()
     try:
-        raw = worker.decompress(blob, MAX_VALUE_BYTES)
+        raw = decompressor.decompress(blob, MAX_VALUE_BYTES)
     except zlib.error:
         return None
-    return raw if worker.eof else None
+    return raw if decompressor.eof else None
 
 
-def _raw(blob: bytes) -> bytes:
+def _decompress_trusted(blob: bytes) -> bytes:
     return zlib.decompress(blob)
--- a/siskinbank/directory/view.py
+++ b/siskinbank/directory/view.py
@@ -1,4 +1,4 @@
-"""What one process believes of the fleet: configuration and live list."""
+"""A process's view of the fleet: configuration and live list."""
 
 from collections.abc import Callable, Sequence
 
@@ -12,10 +12,10 @@
 
 
 class FleetView:
-    """The generation in force and the instances that were last listed."""
+    """The configuration in force and the state of the instances."""
 
     def __init__(self, log: events.EventLog, clock: Clock) -> None:
-        """Start with nothing in force."""
+        """Create a view without a configuration."""
         self._log = log
         self._clock = clock
         self._site: Site | None = None
@@ -24,13 +24,13 @@
         self._listed_at: float | None = None
         self._leaving: frozenset[str] = frozenset()
         self._gone: frozenset[str] = frozenset()
-        self._is_fresh: Callable[[], bool] = _always
-        self._heard_age: Callable[[], float | None] | None = None
+        self._is_fresh: Callable[[], bool] = _always_fresh
+        self._age_source: Callable[[], float | None] | None = None
         self._subscribers: list[Callable[[], None]] = []
 
     @property
     def site(self) -> Site | None:
-        """The configuration in force."""
+        """The configuration in force, None while there is none."""
         return self._site
 
     @property
@@ -40,51 +40,55 @@
 
     @property
     def instances(self) -> tuple[Instance, ...]:
-        """The instances as last listed."""
+        """The instances of the last live list."""
         return self._instances
 
     @property
     def list_age(self) -> float | None:
         """Seconds since the view is known to have been up to date."""
-        if self._heard_age is not None:
-            return self._heard_age()
+        if self._age_source is not None:
+            return self._age_source()
         if self._listed_at is None:
             return None
         return self._clock() - self._listed_at
 
     @property
     def leaving(self) -> frozenset[str]:
-        """The names of instances that leave, by the list or their own word."""
+        """The names of instances that are listed as leaving or announced it."""
         return self._leaving
 
     @property
     def gone(self) -> frozenset[str]:
-        """The names of instances that list and silence say are gone."""
+        """The names of instances that are known to be gone."""
         return self._gone
 
     @property
     def fresh(self) -> bool:
         """Whether the process may act on this view.
 
-        False after a pause, until a peer has answered or it is clear that
-        none does.
+        False after a pause, until a peer has answered or the process is known
+        to be isolated.
         """
         return self._is_fresh()
 
     def subscribe(self, callback: Callable[[], None]) -> None:
-        """Call ``callback`` after each change, and now if one has been."""
+        """Call ``callback`` after each change, and now if there is a site."""
         self._subscribers.append(callback)
         if self._site is not None:
             callback()
 
     def service(self, ident: int) -> Service | None:
-        """Return a service by the number that packets carry."""
+        """Return a service by its number in packets."""
         return self._site.by_ident.get(ident) if self._site else None
 
     def adopt(self, site: Site) -> bool:
-        """Put a newer generation in force; refuse an older one.
+        """Put a newer generation in force; ignore an older one.
 
-        Of two sites with one generation the one with the higher digest wins.
+        Of two sites with the same generation the one with the higher digest
+        wins.
+
+        Returns:
+            Whether the site was adopted.
         """
         key = Manifest(site.generation, site.digests).key
         if self._site is not None and key <= self._key:
@@ -98,11 +102,11 @@
         self._site = site
         self._key = key
         self._log.write(events.ADOPTED, generation=site.generation)
-        self._tell()
+        self._notify()
         return True
 
-    def take_list(self, instances: Sequence[Instance]) -> None:
-        """Take over the live list."""
+    def update_list(self, instances: Sequence[Instance]) -> None:
+        """Update the view from the live list."""
         self._listed_at = self._clock()
         if tuple(instances) == self._instances:
             return
@@ -120,26 +124,26 @@
         leaving: frozenset[str],
         gone: frozenset[str],
     ) -> None:
-        """Take over which instances leave or are gone."""
+        """Update which instances leave or are gone."""
         if (leaving, gone) == (self._leaving, self._gone):
             return
         self._leaving = leaving
         self._gone = gone
-        self._tell()
+        self._notify()
 
     def follow_freshness(
         self,
         is_fresh: Callable[[], bool],
-        heard_age: Callable[[], float | None],
+        age_source: Callable[[], float | None],
     ) -> None:
-        """Ask whether the process may act on the view, and its age."""
+        """Set the functions that return the view's freshness and age."""
         self._is_fresh = is_fresh
-        self._heard_age = heard_age
+        self._age_source = age_source
 
-    def _tell(self) -> None:
+    def _notify(self) -> None:
         for callback in self._subscribers:
             callback()
 
 
-def _always() -> bool:
+def _always_fresh() -> bool:
     return True
--- a/siskinbank/peers/__init__.py
+++ b/siskinbank/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Links between the system's own processes."""
+"""Communication between siskinbank's own processes."""
--- a/siskinbank/peers/connect.py
+++ b/siskinbank/peers/connect.py
@@ -1,4 +1,7 @@
-"""The one place that opens and accepts streams between our processes."""
+"""Streams between siskinbank's own processes.
+
+No other module opens or accepts such streams.
+"""
 
 import asyncio
 from collections.abc import Callable
@@ -18,20 +21,20 @@
 
 
 class PeerStreams:
-    """Opens and accepts streams in TLS with mutual authentication."""
+    """Opens and accepts TLS streams with mutual authentication."""
 
     def __init__(self, process: ProcessContext, keys: KeyRing) -> None:
-        """Prove and demand the keys of ``keys``."""
+        """Initialize with the keys that authenticate both sides."""
         self._process = process
         self._security = StreamSecurity(keys)
-        self._security.on_refusal = self._refuse
+        self._security.on_refusal = self._note_refusal
         self._refusals = RefusalLog(process)
 
     async def connect(self, address: Address) -> MessageStream:
         """Open a stream to another process.
 
         Raises:
-            OSError: it cannot be reached, or the keys do not match.
+            OSError: The process cannot be reached, or the keys do not match.
         """
         reader, writer = await asyncio.open_connection(
             *address,
@@ -44,20 +47,20 @@
         address: Address,
         accept: Callable[[MessageStream], None],
     ) -> asyncio.Server:
-        """Hand each stream of a process with a valid key to ``accept``.
+        """Listen and pass each authenticated stream to ``accept``.
 
         Raises:
-            OSError: the address could not be bound.
+            OSError: The address could not be bound.
         """
 
-        def take(
+        def handle_connection(
             reader: asyncio.StreamReader,
             writer: asyncio.StreamWriter,
         ) -> None:
             accept(MessageStream(reader, writer))
 
         return await asyncio.start_server(
-            take,
+            handle_connection,
             *address,
             **self._server_options(),
         )
@@ -74,7 +77,7 @@
             'ssl_handshake_timeout': _HANDSHAKE_SECONDS,
         }
 
-    def _refuse(self, reason: str) -> None:
-        """Count a refused stream, and say so in the log."""
+    def _note_refusal(self, reason: str) -> None:
+        """Count and log a refused stream."""
         self._process.metrics.count(Drop.unkeyed_stream)
         self._refusals.write('stream', reason)
--- a/siskinbank/peers/datagrams.py
+++ b/siskinbank/peers/datagrams.py
@@ -1,4 +1,4 @@
-"""The keyed UDP socket over which the system's processes reach each other."""
+"""The authenticated UDP socket between siskinbank's own processes."""
 
 import asyncio
 import socket
@@ -15,7 +15,7 @@
 __all__ = ('PeerSocket', 'open_udp')
 
 _CONTROL_PREFIX = b'\0'
-_STAMPED = len(_CONTROL_PREFIX) + STAMP_BYTES
+_STAMP_END = len(_CONTROL_PREFIX) + STAMP_BYTES
 _RECEIVE_BUFFER_BYTES = 4 * 1024 * 1024
 
 EnvelopeHandler = Callable[[Envelope, Address], None]
@@ -30,17 +30,17 @@
         self._handle(data, addr)
 
     def error_received(self, exc: Exception) -> None:
-        """Ignore; an unreachable peer is noticed by its silence."""
+        """Ignore; an unreachable peer is detected by its missing answers."""
 
 
 async def open_udp(
     address: Address,
     handle: Callable[[bytes, Address], None],
 ) -> asyncio.DatagramTransport:
-    """Bind a UDP socket and hand each datagram to ``handle``.
+    """Bind a UDP socket and pass each datagram to ``handle``.
 
     Raises:
-        OSError: the address could not be bound.
+        OSError: The address could not be bound.
     """
     sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     sock.setblocking(False)
@@ -66,39 +66,46 @@
     """Sends and receives sealed envelopes and messages."""
 
     def __init__(self, keys: KeyRing, metrics: Metrics) -> None:
-        """Seal and open with ``keys``; handlers are set before ``open``.
+        """Initialize an unbound socket; handlers are set before ``open``.
 
-        ``on_message`` gets the messages of classes without a subscriber.
+        ``on_message`` receives the messages of classes without a subscriber.
+        ``take_body`` may handle the body of an envelope itself and then
+        returns True; all others are decoded and passed to ``on_envelope``.
+
+        Args:
+            keys: The keys that seal and open datagrams.
+            metrics: Counts dropped datagrams and the bytes of control
+                messages.
         """
         self.keys = keys
         self._metrics = metrics
-        self._guard = ReplayGuard()
+        self._replay_guard = ReplayGuard()
         self._transport: asyncio.DatagramTransport | None = None
         self._subscribers: dict[type[Message], MessageHandler] = {}
         self.on_envelope: EnvelopeHandler = _ignore
         self.on_message: MessageHandler = _ignore
-        self.on_unkeyed: Callable[[], None] = _do_nothing
-        self.take_body: Callable[[bytes], bool] = _take_nothing
+        self.on_unkeyed: Callable[[], None] = _ignore_unkeyed
+        self.take_body: Callable[[bytes], bool] = _leave_to_default
 
     def subscribe(self, kind: type[Message], handler: MessageHandler) -> None:
-        """Hand messages of one class to ``handler``.
+        """Pass messages of one class to ``handler``.
 
         Raises:
-            ValueError: the class has a subscriber.
+            ValueError: The class already has a subscriber.
         """
         if self._subscribers.setdefault(kind, handler) is not handler:
-            raise ValueError(f'{kind.__name__} has a subscriber')
+            raise ValueError(f'{kind.__name__} already has a subscriber')
 
     async def open(self, address: Address) -> None:
         """Bind to ``address``."""
         self.use(await open_udp(address, self.receive))
 
     def use(self, transport: asyncio.DatagramTransport) -> None:
-        """Send over an open transport."""
+        """Use a transport that is already open."""
         self._transport = transport
 
     def receive(self, datagram: bytes, sender: Address) -> None:
-        """Open one datagram and hand it on; count what is refused."""
+        """Authenticate a datagram and dispatch it; count refused ones."""
         body = self.keys.open(datagram)
         if body is None:
             self._metrics.count(Drop.unkeyed)
@@ -110,13 +117,13 @@
             self._receive_message(body, sender)
 
     def send_packet(self, head: bytes, raw: bytes, receiver: Address) -> None:
-        """Send a packet behind an envelope's head that is packed already."""
+        """Send a packet behind an already packed envelope header."""
         if self._transport is not None:
             sealed = self.keys.seal_parts(head, raw)
             self._transport.sendto(sealed, receiver)
 
     def send_envelope(self, envelope: Envelope, receiver: Address) -> None:
-        """Send a packet on to another process."""
+        """Forward a packet to another process."""
         if self._transport is not None:
             sealed = self.keys.seal_parts(envelope.pack_head(), envelope.raw)
             self._transport.sendto(sealed, receiver)
@@ -125,13 +132,13 @@
         """Send a control message to another process."""
         if self._transport is not None:
             sealed = self.keys.seal(
-                _CONTROL_PREFIX + self._guard.stamp() + encode(sent),
+                _CONTROL_PREFIX + self._replay_guard.stamp() + encode(sent),
             )
             self._metrics.tally('control_bytes', len(sealed))
             self._transport.sendto(sealed, receiver)
 
     def close(self) -> None:
-        """Stop receiving."""
+        """Close the socket."""
         if self._transport is not None:
             self._transport.close()
 
@@ -143,11 +150,13 @@
             self.on_envelope(envelope, sender)
 
     def _receive_message(self, body: bytes, sender: Address) -> None:
-        if not self._guard.accept(body[len(_CONTROL_PREFIX) : _STAMPED]):
+        if not self._replay_guard.accept(
+            body[len(_CONTROL_PREFIX) : _STAMP_END]
+        ):
             self._metrics.count(Drop.replayed)
             return
         try:
-            received = decode(body[_STAMPED:])
+            received = decode(body[_STAMP_END:])
         except MessageError:
             self._metrics.count(Drop.malformed)
             return
@@ -156,12 +165,12 @@
 
 
 def _ignore(_received: object, _sender: Address) -> None:
-    """Drop what nobody handles."""
+    """Drop a datagram without a handler."""
 
 
-def _do_nothing() -> None:
-    """Tell nobody."""
+def _ignore_unkeyed() -> None:
+    """Default of ``on_unkeyed``."""
 
 
-def _take_nothing(_body: bytes) -> bool:
+def _leave_to_default(_body: bytes) -> bool:
     return False
--- a/siskinbank/peers/pursuit.py
+++ b/siskinbank/peers/document_fetch.py
@@ -1,4 +1,4 @@
-"""Go after documents that peers have, and pass on one's own."""
+"""Fetch configuration documents from peers, and serve them."""
 
 import random
 from collections.abc import Callable
@@ -9,14 +9,14 @@
 from siskinbank.kernel.metrics import Metrics
 from siskinbank.peers.rate import TokenBucket
 from siskinbank.peers.timing import TimerSource
-from siskinbank.peers.transfer import Fetcher, Send, serve_ask
+from siskinbank.peers.transfer import PieceCollector, Send, serve_ask
 from siskinbank.directory.store import DocumentStore
 from siskinbank.wire.gossip import Ask, Piece
 
-__all__ = ('Pursuit',)
+__all__ = ('DocumentFetch',)
 
-_FETCH_SECONDS = 0.25
-_SOURCES = 4
+_FETCH_INTERVAL_SECONDS = 0.25
+_MAX_SOURCES = 4
 
 
 @dataclass(slots=True)
@@ -25,8 +25,8 @@
     sources: list[Address] = field(default_factory=list)
 
 
-class Pursuit:
-    """The one document that a process fetches from its peers at a time."""
+class DocumentFetch:
+    """Fetches one document at a time from the peers that have it."""
 
     def __init__(
         self,
@@ -37,29 +37,38 @@
         rng: random.Random,
         metrics: Metrics,
     ) -> None:
-        """Fetch into ``store``; ``on_complete`` gets what is complete."""
+        """Initialize; ``on_complete`` is called with each complete document.
+
+        Args:
+            store: Receives the fetched documents and holds those to serve.
+            timers: Schedules retries.
+            send: Sends a message to a peer.
+            rate: Limits the bytes sent to peers.
+            rng: Chooses the peer to ask.
+            metrics: Counts requests that the rate limit refused.
+        """
         self._store = store
         self._timers = timers
         self._send = send
         self._rate = rate
         self._rng = rng
         self._metrics = metrics
-        self._fetcher = Fetcher(store, send, lambda: timers.now)
+        self._collector = PieceCollector(store, send, lambda: timers.now)
         self._candidate: _Candidate | None = None
-        self._due = False
+        self._fetch_scheduled = False
         self.on_complete: Callable[[DocumentKey], object] = _ignore
 
     def consider(self, key: DocumentKey, sender: Address) -> None:
-        """Go after a document that a peer has in force."""
+        """Fetch a document that a peer has in force, if it is newer."""
         store = self._store
         if key[0] and key > store.in_force and key != store.refused:
             store.raise_floor(key)
-            self._follow(key, sender)
+            self._add_source(key, sender)
         elif key[0] == store.in_force[0]:
             store.wants(key)
 
     def consider_refused(self, refused: list[object], sender: Address) -> None:
-        """Judge for oneself what a peer has refused."""
+        """Fetch a document that a peer has refused, to check it here too."""
         if len(refused) != 2:
             return
         generation, digest = refused
@@ -67,13 +76,13 @@
             return
         key = (generation, digest)
         if generation and key > max(self._store.in_force, self._store.refused):
-            self._follow(key, sender)
+            self._add_source(key, sender)
 
-    def take_ask(self, asked: Ask, sender: Address) -> None:
-        """Send what a peer asks for."""
-        if asked.first >= 0:
+    def receive_ask(self, request: Ask, sender: Address) -> None:
+        """Send the pieces that a peer asks for."""
+        if request.first >= 0:
             serve_ask(
-                asked,
+                request,
                 sender,
                 self._store,
                 self._send,
@@ -81,22 +90,22 @@
                 self._metrics,
             )
 
-    def take_piece(self, piece: Piece, sender: Address) -> None:
-        """Take a piece of what was asked for."""
-        if self._fetcher.take(piece, sender):
+    def receive_piece(self, piece: Piece, sender: Address) -> None:
+        """Store a piece of a requested document."""
+        if self._collector.add_piece(piece, sender):
             self._fetch()
 
-    def _follow(self, key: DocumentKey, sender: Address) -> None:
+    def _add_source(self, key: DocumentKey, sender: Address) -> None:
         candidate = self._candidate
         if candidate is None or key > candidate.key:
             candidate = _Candidate(key)
             self._candidate = candidate
         if key == candidate.key and sender not in candidate.sources:
-            candidate.sources = [*candidate.sources, sender][-_SOURCES:]
+            candidate.sources = [*candidate.sources, sender][-_MAX_SOURCES:]
             self._fetch()
 
     def _fetch(self) -> None:
-        """Ask for what is missing, or adopt when nothing is."""
+        """Request the missing parts, or complete the fetch if there are none."""
         candidate = self._candidate
         if candidate is None:
             return
@@ -110,15 +119,17 @@
             self._candidate = None
             self.on_complete(candidate.key)
             return
-        self._fetcher.want(missing, self._rng.choice(candidate.sources))
-        if not self._due:
-            self._due = True
-            self._timers.after(_FETCH_SECONDS, self._fetch_again)
+        self._collector.request_missing(
+            missing, self._rng.choice(candidate.sources)
+        )
+        if not self._fetch_scheduled:
+            self._fetch_scheduled = True
+            self._timers.after(_FETCH_INTERVAL_SECONDS, self._fetch_again)
 
     def _fetch_again(self) -> None:
-        self._due = False
+        self._fetch_scheduled = False
         self._fetch()
 
 
 def _ignore(_key: DocumentKey) -> None:
-    """Nobody adopts documents yet."""
+    """Default of ``on_complete``."""
--- a/siskinbank/peers/freshness.py
+++ b/siskinbank/peers/freshness.py
@@ -1,10 +1,11 @@
-"""Whether a process may act on what it believes: a lease on being heard.
+"""Whether a process may act on its known state: a lease that peers renew.
 
 The lease runs on a clock that counts suspension. A process that was paused
-for longer finds itself stale, asks several peers, and acts again as soon as
-one that is itself fresh has answered. When nobody answers for a while that it
-spent awake, it goes on with what it has: whoever could be harmed by that could
-be reached, and would have answered.
+for longer than the lease is stale: it asks several peers and acts again as
+soon as a peer that is itself fresh has answered. If no peer answers for some
+time during which the process was running, it is isolated and continues with
+its last known state: any process that this could harm would be reachable, and
+would have answered.
 """
 
 import random
@@ -15,13 +16,17 @@
 __all__ = ('LEASE_SECONDS', 'Freshness')
 
 LEASE_SECONDS = 10
-_GRACE_SECONDS = 3
-_NONCES = 1 << 32
-_LONGEST_TICK_SECONDS = 1.5
+_ISOLATION_SECONDS = 3
+_NONCE_LIMIT = 1 << 32
+_MAX_TICK_SECONDS = 1.5
 
 
 class Freshness:
-    """The lease of one process."""
+    """The lease of one process.
+
+    Attributes:
+        nonce: Number of the current request; peers echo it in their replies.
+    """
 
     def __init__(
         self,
@@ -29,89 +34,89 @@
         log: events.EventLog,
         rng: random.Random,
     ) -> None:
-        """Start stale: a new process asks before it serves."""
+        """Create an expired lease: a new process asks peers before it serves."""
         self._clock = clock
         self._log = log
-        self._heard_at: float | None = None
+        self._renewed_at: float | None = None
         self._isolated_at: float | None = None
-        self._asked_awake: float = 0
+        self._unanswered_seconds: float = 0
         self._last_tick = clock()
         self._rng = rng
-        self._asked: dict[int, float] = {}
+        self._sent_at: dict[int, float] = {}
         self.nonce = 0
-        self._renew()
+        self._draw_nonce()
 
     @property
     def fresh(self) -> bool:
-        """Whether the process may act on its beliefs."""
+        """Whether the process may act on its known state."""
         now = self._clock()
         if self._isolated_at is not None:
             return now - self._isolated_at <= LEASE_SECONDS
-        return self.heard
+        return self.lease_valid
 
     @property
-    def heard(self) -> bool:
-        """Whether a fresh peer was heard within the lease."""
-        if self._heard_at is None:
+    def lease_valid(self) -> bool:
+        """Whether a reply of a fresh peer has renewed the lease in time."""
+        if self._renewed_at is None:
             return False
-        return self._clock() - self._heard_at <= LEASE_SECONDS
+        return self._clock() - self._renewed_at <= LEASE_SECONDS
 
     @property
     def isolated(self) -> bool:
-        """Whether the process goes on without an answer."""
+        """Whether the process continues without replies of peers."""
         return self._isolated_at is not None
 
     @property
     def age(self) -> float | None:
-        """Seconds since a fresh peer was heard; None if never."""
-        if self._heard_at is None:
+        """Seconds since the last renewal by a fresh peer; None if never."""
+        if self._renewed_at is None:
             return None
-        return self._clock() - self._heard_at
+        return self._clock() - self._renewed_at
 
-    def hear(self, echo: int) -> None:
-        """Note an answer of a fresh peer to one of the last questions.
+    def note_reply(self, echo: int) -> None:
+        """Renew the lease with a fresh peer's reply to a recent request.
 
-        The lease starts when the question was asked: answers that lay in a
-        socket while the process was paused prove nothing about now.
+        The lease starts when the request was sent: replies that were queued
+        in a socket buffer while the process was paused may be outdated.
         """
-        asked_at = self._asked.get(echo)
-        if asked_at is None:
+        sent_at = self._sent_at.get(echo)
+        if sent_at is None:
             return
-        self._heard_at = max(self._heard_at or asked_at, asked_at)
-        if not self.heard:
+        self._renewed_at = max(self._renewed_at or sent_at, sent_at)
+        if not self.lease_valid:
             return
-        self._asked_awake = 0
+        self._unanswered_seconds = 0
         if self._isolated_at is not None:
             self._isolated_at = None
             self._log.write(events.HEARD)
 
     def tick(self) -> None:
-        """Count the time awake without an answer; call about each second."""
-        self._renew()
+        """Count the running time without a reply; call about once a second."""
+        self._draw_nonce()
         now = self._clock()
-        awake = min(now - self._last_tick, _LONGEST_TICK_SECONDS)
+        awake = min(now - self._last_tick, _MAX_TICK_SECONDS)
         paused = now - self._last_tick > LEASE_SECONDS
         self._last_tick = now
-        if self.heard:
+        if self.lease_valid:
             return
         if paused:
             self._isolated_at = None
-            self._asked_awake = 0
+            self._unanswered_seconds = 0
             return
-        self._asked_awake += awake
+        self._unanswered_seconds += awake
         if self._isolated_at is not None:
             self._isolated_at = now
-        elif self._asked_awake >= _GRACE_SECONDS:
+        elif self._unanswered_seconds >= _ISOLATION_SECONDS:
             self._isolated_at = now
             self._log.write(events.ISOLATED)
 
-    def _renew(self) -> None:
-        """Ask under a new number, and forget those beyond the lease."""
+    def _draw_nonce(self) -> None:
+        """Draw a new nonce, and forget those that are older than the lease."""
         now = self._clock()
-        self._asked = {
-            nonce: at
-            for nonce, at in self._asked.items()
-            if now - at <= LEASE_SECONDS
+        self._sent_at = {
+            nonce: sent_at
+            for nonce, sent_at in self._sent_at.items()
+            if now - sent_at <= LEASE_SECONDS
         }
-        self.nonce = self._rng.randrange(1, _NONCES)
-        self._asked[self.nonce] = now
+        self.nonce = self._rng.randrange(1, _NONCE_LIMIT)
+        self._sent_at[self.nonce] = now
--- a/siskinbank/peers/pump.py
+++ b/siskinbank/peers/pump.py
@@ -1,8 +1,8 @@
-"""Carry a connection's bytes through a stream between our processes.
+"""Tunnel a connection's bytes through a stream between processes.
 
-A stream in TLS cannot be closed one way only. So each piece goes behind its
-length, and an empty piece says that one direction has ended. A stream that
-ends without it was cut, and the connection is cut likewise.
+A TLS stream cannot be closed in one direction only. Each chunk is therefore
+prefixed with its length, and an empty chunk marks the end of one direction. A
+stream that ends without it was interrupted, and the connection is reset.
 """
 
 import asyncio
@@ -15,8 +15,8 @@
 
 _CHUNK_BYTES = 64 * 1024
 _LENGTH = struct.Struct('!I')
-#: Linger for no time: closing drops what is unsent and sends a reset.
-_RESET = struct.pack('ii', 1, 0)
+#: Linger time 0: closing discards unsent bytes and sends a reset.
+_LINGER_ZERO = struct.pack('ii', 1, 0)
 
 
 async def pump_both(
@@ -27,14 +27,14 @@
     """Copy both ways until both sides have ended, then close both.
 
     Args:
-        reader: what the connection sends.
-        writer: the connection's other direction.
-        stream: the stream to the process at the other end.
+        reader: The bytes that the connection's peer sends.
+        writer: The other direction of the connection.
+        stream: The stream to the process at the other end.
     """
     try:
         async with asyncio.TaskGroup() as group:
-            group.create_task(_pump_in(reader, stream.writer))
-            group.create_task(_pump_out(stream.reader, writer))
+            group.create_task(_copy_to_stream(reader, stream.writer))
+            group.create_task(_copy_from_stream(stream.reader, writer))
     except* (OSError, EOFError):
         _reset(writer)
         stream.writer.transport.abort()
@@ -43,39 +43,41 @@
         stream.writer.close()
 
 
-async def _pump_in(
+async def _copy_to_stream(
     reader: asyncio.StreamReader,
-    sealed: asyncio.StreamWriter,
+    stream_writer: asyncio.StreamWriter,
 ) -> None:
     while chunk := await reader.read(_CHUNK_BYTES):
-        sealed.write(_LENGTH.pack(len(chunk)) + chunk)
-        await sealed.drain()
-    sealed.write(_LENGTH.pack(0))
-    await sealed.drain()
+        stream_writer.write(_LENGTH.pack(len(chunk)) + chunk)
+        await stream_writer.drain()
+    stream_writer.write(_LENGTH.pack(0))
+    await stream_writer.drain()
 
 
-async def _pump_out(
-    opened: asyncio.StreamReader,
+async def _copy_from_stream(
+    stream_reader: asyncio.StreamReader,
     writer: asyncio.StreamWriter,
 ) -> None:
-    """Copy to the connection.
+    """Copy from the stream to the connection.
 
     Raises:
-        EOFError: the stream was cut.
-        ConnectionError: a piece is too large.
+        EOFError: The stream was interrupted.
+        ConnectionError: A chunk is too large.
     """
-    while size := _LENGTH.unpack(await opened.readexactly(_LENGTH.size))[0]:
+    while size := _LENGTH.unpack(await stream_reader.readexactly(_LENGTH.size))[
+        0
+    ]:
         if size > _CHUNK_BYTES:
-            raise ConnectionError(f'piece of {size} bytes')
-        writer.write(await opened.readexactly(size))
+            raise ConnectionError(f'chunk of {size} bytes is too large')
+        writer.write(await stream_reader.readexactly(size))
         await writer.drain()
     if writer.can_write_eof():
         writer.write_eof()
 
 
 def _reset(writer: asyncio.StreamWriter) -> None:
-    """Close so that the other side sees a cut, not an end."""
+    """Close with a reset, so that the other side sees no regular end."""
     sock = writer.get_extra_info('socket')
     if sock is not None:
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET)
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _LINGER_ZERO)
     writer.transport.abort()
--- a/siskinbank/peers/rate.py
+++ b/siskinbank/peers/rate.py
@@ -1,4 +1,4 @@
-"""A bound on the bytes that a process spends on others."""
+"""Limit the rate at which a process sends to others."""
 
 from siskinbank.kernel.clock import Clock
 
@@ -6,25 +6,25 @@
 
 
 class TokenBucket:
-    """Lets ``rate`` units a second pass, and ``burst`` at once."""
+    """A token bucket: ``rate`` units per second, bursts up to ``burst``."""
 
-    __slots__ = ('_burst', '_clock', '_filled_at', '_level', '_rate')
+    __slots__ = ('_burst', '_clock', '_rate', '_refilled_at', '_tokens')
 
     def __init__(self, rate: float, burst: float, clock: Clock) -> None:
-        """Start full."""
+        """Create a full bucket."""
         self._rate = rate
         self._burst = burst
         self._clock = clock
-        self._level = burst
-        self._filled_at = clock()
+        self._tokens = burst
+        self._refilled_at = clock()
 
     def take(self, amount: float) -> bool:
-        """Take units; False when there are not enough."""
+        """Take tokens; return False if there are not enough."""
         now = self._clock()
-        grown = self._level + (now - self._filled_at) * self._rate
-        self._level = min(self._burst, grown)
-        self._filled_at = now
-        if self._level < amount:
+        refilled = self._tokens + (now - self._refilled_at) * self._rate
+        self._tokens = min(self._burst, refilled)
+        self._refilled_at = now
+        if self._tokens < amount:
             return False
-        self._level -= amount
+        self._tokens -= amount
         return True
--- a/siskinbank/peers/refusals.py
+++ b/siskinbank/peers/refusals.py
@@ -1,26 +1,26 @@
-"""Say in the log that something without a valid key was refused."""
+"""Log datagrams and streams that were refused for lack of a valid key."""
 
 from siskinbank.kernel import events
 from siskinbank.kernel.process import ProcessContext
 
 __all__ = ('RefusalLog',)
 
-_EVENT_SECONDS = 60
+_LOG_INTERVAL_SECONDS = 60
 
 
 class RefusalLog:
-    """Writes at most one event a minute for each kind, however many come."""
+    """Logs at most one refusal per minute and kind."""
 
     def __init__(self, process: ProcessContext) -> None:
-        """Write to the log of ``process``."""
+        """Initialize with the process whose log is written."""
         self._process = process
         self._written_at: dict[str, float] = {}
 
     def write(self, kind: str, why: str) -> None:
-        """Write that a datagram or stream was refused."""
+        """Log a refused datagram or stream."""
         now = self._process.timers.now
-        before = self._written_at.get(kind)
-        if before is not None and now - before < _EVENT_SECONDS:
+        written_at = self._written_at.get(kind)
+        if written_at is not None and now - written_at < _LOG_INTERVAL_SECONDS:
             return
         self._written_at[kind] = now
         self._process.log.write(events.UNKEYED, what=kind, why=why)
--- a/siskinbank/peers/ring.py
+++ b/siskinbank/peers/ring.py
@@ -1,102 +1,118 @@
-"""Watch the successors on the ring of one's data centre."""
+"""Failure detection: monitor the successors on the data centre's ring."""
 
 from dataclasses import dataclass
 
 from siskinbank.directory.roster import Record, Roster, ring_key
-from siskinbank.directory.words import Word, WordBook, WordState
+from siskinbank.directory.member_status import (
+    MemberState,
+    MemberStatus,
+    MemberStatusTable,
+)
 
-__all__ = ('RingWatch',)
+__all__ = ('RingMonitor',)
 
-_WATCHED = 2
-_LOOKED_AT = 8
+_MONITORED_SUCCESSORS = 2
+_MAX_SEARCH_STEPS = 8
 _SILENT_SECONDS = 4
 
 
 @dataclass(slots=True)
 class _Neighbour:
-    """A watched successor; ``since`` is when it last answered, or first."""
+    """A monitored successor.
 
-    since: float
+    ``last_seen`` is when it last sent something, or else when monitoring
+    began.
+    """
+
+    last_seen: float
     epoch: int = 0
 
 
-class RingWatch:
-    """When each of the watched successors last answered."""
+class RingMonitor:
+    """Tracks when each monitored successor last sent something."""
 
     def __init__(self, name: str, data_centre: str) -> None:
-        """Watch for the process ``name``."""
+        """Initialize for the process ``name``."""
         self._name = name
         self._data_centre = data_centre
         self._neighbours: dict[str, _Neighbour] = {}
 
-    def hear(self, name: str, epoch: int, now: float) -> None:
-        """Note that an instance spoke."""
+    def note_received(self, name: str, epoch: int, now: float) -> None:
+        """Record that a message of an instance was received."""
         neighbour = self._neighbours.get(name)
         if neighbour is not None:
-            neighbour.since = now
+            neighbour.last_seen = now
             neighbour.epoch = epoch
 
     def update(
         self,
         roster: Roster,
-        words: WordBook,
+        statuses: MemberStatusTable,
         now: float,
         *,
         reset: bool,
-    ) -> tuple[list[Record], list[Word]]:
-        """Return whom to ask now, and words on those who did not answer.
+    ) -> tuple[list[Record], list[MemberStatus]]:
+        """Return the successors to ask, and the status of the silent ones.
 
         Args:
-            roster: all instances.
-            words: what is said of them; silent ones are passed over.
-            now: the time in seconds.
-            reset: the process was itself cut off, so that silence proves
-                nothing yet.
+            roster: All instances.
+            statuses: Their known status; silent instances are skipped.
+            now: The time in seconds.
+            reset: Whether to restart all silence timers. Set while this
+                process has itself lost contact, since missing answers are no
+                evidence then.
         """
-        successors = self._successors(roster, words)
-        watched = self._neighbours
+        successors = self._successors(roster, statuses)
+        previous = self._neighbours
         self._neighbours = {
-            record.name: watched.get(record.name) or _Neighbour(now)
+            record.name: previous.get(record.name) or _Neighbour(now)
             for record in successors
         }
         if reset:
             for neighbour in self._neighbours.values():
-                neighbour.since = now
+                neighbour.last_seen = now
         silent = [
-            self._silent_word(record.name, words)
+            self._silent_status(record.name, statuses)
             for record in successors
-            if now - self._neighbours[record.name].since >= _SILENT_SECONDS
+            if now - self._neighbours[record.name].last_seen >= _SILENT_SECONDS
         ]
         return successors, silent
 
-    def _silent_word(self, name: str, words: WordBook) -> Word:
-        known = words.get(name)
+    def _silent_status(
+        self, name: str, statuses: MemberStatusTable
+    ) -> MemberStatus:
+        known = statuses.get(name)
         epoch = max(
             self._neighbours[name].epoch,
             known.epoch if known else 0,
         )
-        return Word(epoch, WordState.silent, name)
+        return MemberStatus(epoch, MemberState.silent, name)
 
-    def _successors(self, roster: Roster, words: WordBook) -> list[Record]:
+    def _successors(
+        self, roster: Roster, statuses: MemberStatusTable
+    ) -> list[Record]:
         ring = roster.index().rings.get(self._data_centre, ())
-        place = _place_on(ring, self._name)
-        found: list[Record] = []
-        for step in range(1, min(len(ring), _LOOKED_AT)):
-            record = ring[(place + step) % len(ring)]
-            if record.name == self._name or len(found) == _WATCHED:
+        position = _ring_position(ring, self._name)
+        successors: list[Record] = []
+        for step in range(1, min(len(ring), _MAX_SEARCH_STEPS)):
+            record = ring[(position + step) % len(ring)]
+            if (
+                record.name == self._name
+                or len(successors) == _MONITORED_SUCCESSORS
+            ):
                 break
-            if words.silent_for(record.name, 0) is None:
-                found.append(record)
-        return found
+            if statuses.silent_for(record.name, 0) is None:
+                successors.append(record)
+        return successors
 
 
-def _place_on(ring: tuple[Record, ...], name: str) -> int:
-    """Return the place of a name on a ring that is sorted by hash."""
+def _ring_position(ring: tuple[Record, ...], name: str) -> int:
+    """Return the position of a name on a ring that is sorted by hash."""
     low, high = 0, len(ring)
-    wanted = ring_key(name)
+    key = ring_key(name)
     while low < high:
         middle = (low + high) // 2
-        if ring_key(ring[middle].name) < wanted:
+        if ring_key(ring[middle].name) < key:
             low = middle + 1
         else:
             high = middle
--- a/siskinbank/peers/rosters.py
+++ b/siskinbank/peers/rosters.py
@@ -1,4 +1,4 @@
-"""Compare rosters with peers, bucket by bucket."""
+"""Synchronize rosters with peers, bucket by bucket."""
 
 import random
 
@@ -18,17 +18,19 @@
 
 __all__ = ('RosterSync', 'parse_records')
 
-_BUCKETS_A_REPLY = 32
+_BUCKETS_PER_REPLY = 32
 _RECORD_BYTES = 45
 
 
-def parse_records(given: list[object], metrics: Metrics) -> list[Record]:
-    """Return the sound records of a message; count the others."""
-    records = [parse_record(parts) for parts in given]
-    sound = [record for record in records if record is not None]
-    if len(sound) < len(given):
+def parse_records(
+    received_records: list[object], metrics: Metrics
+) -> list[Record]:
+    """Return the valid records of a message; count malformed ones."""
+    records = [parse_record(parts) for parts in received_records]
+    valid = [record for record in records if record is not None]
+    if len(valid) < len(received_records):
         metrics.count(Drop.malformed)
-    return sound
+    return valid
 
 
 class RosterSync:
@@ -41,14 +43,21 @@
         rng: random.Random,
         metrics: Metrics,
     ) -> None:
-        """Send over ``send``."""
+        """Initialize.
+
+        Args:
+            send: Sends a message to a peer.
+            rate: Limits the bytes sent.
+            rng: Chooses which differing buckets to send.
+            metrics: Counts what is malformed or exceeds the rate.
+        """
         self._send = send
         self._rate = rate
         self._rng = rng
         self._metrics = metrics
 
     def send_digests(self, roster: Roster, peer: Address) -> None:
-        """Show a peer the digests of all buckets."""
+        """Send a peer the digests of all buckets."""
         if self._rate.take(BUCKETS * BUCKET_DIGEST_BYTES):
             self._send(Buckets(roster.digests), peer)
 
@@ -58,13 +67,13 @@
         roster: Roster,
         peer: Address,
     ) -> None:
-        """Send the buckets that differ, and ask for the peer's."""
+        """Send the buckets that differ, and request the peer's."""
         if len(received.digests) != BUCKETS * BUCKET_DIGEST_BYTES:
             self._metrics.count(Drop.malformed)
             return
         differing = roster.differing(received.digests)
         self._rng.shuffle(differing)
-        for index in differing[:_BUCKETS_A_REPLY]:
+        for index in differing[:_BUCKETS_PER_REPLY]:
             self.send_bucket(index, roster, peer, wanted=True)
 
     def send_bucket(
@@ -75,7 +84,7 @@
         *,
         wanted: bool,
     ) -> None:
-        """Send one bucket; ``wanted`` asks for the peer's in return."""
+        """Send one bucket; ``wanted`` requests the peer's in return."""
         records = [record.parts for record in roster.bucket(index)]
         if self._rate.take(_RECORD_BYTES * (len(records) + 1)):
             self._send(Bucket(index, wanted, records), peer)
--- a/siskinbank/peers/timing.py
+++ b/siskinbank/peers/timing.py
@@ -1,4 +1,4 @@
-"""What the dissemination needs of a timer service."""
+"""The timer interface that gossip uses."""
 
 from collections.abc import Callable
 from typing import Protocol
@@ -7,7 +7,7 @@
 
 
 class TimerSource(Protocol):
-    """The timer service, or one in virtual time."""
+    """A timer service in real or virtual time."""
 
     @property
     def now(self) -> float:
@@ -19,7 +19,7 @@
         callback: Callable[[], None],
         jitter: float = 0,
     ) -> object:
-        """Call ``callback`` each ``interval`` seconds."""
+        """Call ``callback`` every ``interval`` seconds."""
 
     def after(self, delay: float, callback: Callable[[], None]) -> object:
-        """Call ``callback`` once."""
+        """Call ``callback`` once, after ``delay`` seconds."""
--- a/tests/directory/test_client.py
+++ b/tests/directory/test_client.py
@@ -19,10 +19,10 @@
 
 
 class TestClient(unittest.IsolatedAsyncioTestCase):
-    """A client against the stand-in."""
+    """The client against the stand-in of the platform."""
 
     async def asyncSetUp(self) -> None:
-        """Serve the stand-in."""
+        """Start the stand-in and create a client."""
         self.platform = PlatformStandIn()
         runner = web.AppRunner(self.platform.application())
         await runner.setup()
@@ -33,7 +33,7 @@
         self.addAsyncCleanup(self.client.close)
 
     async def test_unchanged_list_is_not_sent_again(self) -> None:
-        """The second read of a list costs no transfer and no parsing."""
+        """An unchanged list is neither transferred nor parsed again."""
         self.platform._instances = [LINE]
         first = await self.client.instances()
         self.assertGreater(self.client.list_octets, 0)
@@ -42,8 +42,8 @@
         self.platform._instances = [{**LINE, 'state': 'leaving'}]
         self.assertNotEqual(await self.client.instances(), first)
 
-    async def test_what_is_wrong_is_an_error(self) -> None:
-        """A wrong digest, a malformed list, and a service that is down."""
+    async def test_invalid_answers(self) -> None:
+        """A wrong digest, a malformed list or a failed service is an error."""
         raw = '{}'
         digest = hex_digest(raw.encode())
         await self.platform.publish(
--- a/tests/directory/test_border.py
+++ b/tests/directory/test_fuzzing.py
@@ -1,4 +1,7 @@
-"""Whatever the platform answers: valid and taken, or refused with a reason."""
+"""Fuzz tests of the platform's answers and the operators' files.
+
+Input of any form is valid and accepted, or refused with a reason.
+"""
 
 import json
 import unittest
@@ -50,12 +53,12 @@
 
 
 class TestAnswers(unittest.TestCase):
-    """The platform may publish anything."""
+    """Arbitrary answers of the platform."""
 
     @given(ANY | st.binary(max_size=60))
     @settings(max_examples=60, deadline=None)
     def test_manifest_and_list(self, answer: Any) -> None:
-        """An answer is read or refused with the documented error."""
+        """An answer is parsed or refused with the documented error."""
         raw = (
             answer if isinstance(answer, bytes) else json.dumps(answer).encode()
         )
@@ -71,7 +74,7 @@
     @given(st.dictionaries(NAMES, ANY, max_size=4), st.integers(0, 1 << 62))
     @settings(max_examples=60, deadline=None)
     def test_sections(self, parsed: dict[str, Any], generation: int) -> None:
-        """Sections make a site, or findings say why not."""
+        """Sections yield either a site or findings."""
         findings = Findings()
         digests = dict.fromkeys(parsed, '0' * 32)
         site = join_sections(Manifest(generation, digests), parsed, findings)
@@ -79,12 +82,12 @@
 
 
 class TestFiles(unittest.TestCase):
-    """Operators may write anything."""
+    """Arbitrary files of operators."""
 
     @given(st.text(max_size=200))
     @settings(max_examples=60, deadline=None)
     def test_text(self, text: str) -> None:
-        """Any text is a document or has findings with a place."""
+        """Any text is parsed or yields findings with a place."""
         findings = Findings()
         document = parse_document('base.yaml', text, findings)
         self.assertIsInstance(document.content, dict)
@@ -94,7 +97,7 @@
     @given(st.dictionaries(NAMES, ANY, max_size=5))
     @settings(max_examples=60, deadline=None)
     def test_content(self, content: dict[str, Any]) -> None:
-        """Any content is a model, or findings say why not."""
+        """Any content yields a model or findings."""
         findings = Findings()
         text = json.dumps(content)
         document = parse_document('base.yaml', text, findings)
--- a/tests/directory/test_roster.py
+++ b/tests/directory/test_roster.py
@@ -1,4 +1,4 @@
-"""Tests of the roster, the words, and what the list may say."""
+"""Tests of the roster, member statuses and reads of the live list."""
 
 import random
 import unittest
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from siskinbank.kernel.clock import FakeClock
-from siskinbank.peers.ages import Ages
+from siskinbank.peers.ages import DataCentreAges
 from siskinbank.directory.beliefs import find_gone
 from siskinbank.directory.listing import ListReader
 from siskinbank.directory.live import Instance, InstanceState, Role
@@ -19,7 +19,12 @@
     parse_record,
     record_of,
 )
-from siskinbank.directory.words import Word, WordBook, WordState, parse_word
+from siskinbank.directory.member_status import (
+    MemberState,
+    MemberStatus,
+    MemberStatusTable,
+    parse_member_status,
+)
 
 INSTANCES = [
     Instance(f'host-{number}', Role.sidecar, 'a', (f'10.0.0.{number}', 7100))
@@ -50,56 +55,66 @@
 
 
 class TestRoster(unittest.TestCase):
-    """Merging."""
+    """Merging of records and statuses."""
 
     @settings(max_examples=50, deadline=None)
     @given(RECORDS, st.randoms(use_true_random=False))
-    def test_order_does_not_matter(
+    def test_merge_order(
         self,
         records: list[Record],
         rng: random.Random,
     ) -> None:
-        """Whatever comes first, all end with the same roster."""
-        once = Roster().merged(records)[0]
+        """Records yield the same roster in any order."""
+        in_order = Roster().merged(records)[0]
         shuffled = list(records)
         rng.shuffle(shuffled)
-        again = Roster()
+        reordered = Roster()
         for record in shuffled:
-            again = again.merged([record])[0]
-        self.assertEqual(once, again)
-        self.assertEqual(once.differing(again.digests), [])
+            reordered = reordered.merged([record])[0]
+        self.assertEqual(in_order, reordered)
+        self.assertEqual(in_order.differing(reordered.digests), [])
 
     def test_malformed_records(self) -> None:
-        """What peers may not send becomes no record."""
+        """Malformed parts of peers yield no record and no status."""
         for parts in MALFORMED:
             with self.subTest(parts):
                 self.assertIsNone(parse_record(parts))
-                self.assertIsNone(parse_word(parts))
-
-    def test_word_order(self) -> None:
-        """Only the instance itself takes back that it is silent."""
-        words = WordBook()
-        self.assertFalse(words.take(Word(5, WordState.alive, 'x'), 0))
-        self.assertTrue(words.take(Word(5, WordState.silent, 'x'), 0))
-        self.assertFalse(words.take(Word(5, WordState.leaving, 'x'), 0))
-        self.assertTrue(words.take(Word(6, WordState.alive, 'x'), 0))
-        self.assertFalse(words.take(Word(5, WordState.silent, 'x'), 0))
-
-    def test_leaving_outlasts_silence(self) -> None:
-        """A host that left and fell silent gets no work; a new life does."""
-        words = WordBook()
-        words.take(Word(5, WordState.leaving, 'x'), 0)
-        words.take(Word(5, WordState.silent, 'x'), 4)
-        self.assertEqual(words.leaving, {'x'})
-        words.take(Word(6, WordState.alive, 'x'), 5)
-        self.assertEqual(words.leaving, frozenset())
-
-
-class TestGone(unittest.TestCase):
-    """List and silence together."""
+                self.assertIsNone(parse_member_status(parts))
+
+    def test_status_order(self) -> None:
+        """Only a new epoch of the instance refutes that it is silent."""
+        statuses = MemberStatusTable()
+        self.assertFalse(
+            statuses.merge(MemberStatus(5, MemberState.alive, 'x'), 0)
+        )
+        self.assertTrue(
+            statuses.merge(MemberStatus(5, MemberState.silent, 'x'), 0)
+        )
+        self.assertFalse(
+            statuses.merge(MemberStatus(5, MemberState.leaving, 'x'), 0)
+        )
+        self.assertTrue(
+            statuses.merge(MemberStatus(6, MemberState.alive, 'x'), 0)
+        )
+        self.assertFalse(
+            statuses.merge(MemberStatus(5, MemberState.silent, 'x'), 0)
+        )
+
+    def test_leaving_while_silent(self) -> None:
+        """A leaving host that falls silent stays leaving until a new epoch."""
+        statuses = MemberStatusTable()
+        statuses.merge(MemberStatus(5, MemberState.leaving, 'x'), 0)
+        statuses.merge(MemberStatus(5, MemberState.silent, 'x'), 4)
+        self.assertEqual(statuses.leaving, {'x'})
+        statuses.merge(MemberStatus(6, MemberState.alive, 'x'), 5)
+        self.assertEqual(statuses.leaving, frozenset())
+
+
+class TestFindGone(unittest.TestCase):
+    """Failure detection by live list and silence."""
 
     def test_cases(self) -> None:
-        """Neither the list alone nor a short silence makes a host gone."""
+        """The live list alone or a short silence makes no host gone."""
         cases = (
             (Listing.absent, None, False),
             (Listing.absent, 2, False),
@@ -107,53 +122,53 @@
             (Listing.live, 6, False),
             (Listing.live, 16, True),
         )
-        for listing, silent_for, wanted in cases:
+        for listing, silent_for, expected in cases:
             with self.subTest(listing=listing, silent_for=silent_for):
                 record = replace(record_of(INSTANCES[0], 1), listing=listing)
                 roster = Roster().merged([record])[0]
-                words = WordBook()
+                statuses = MemberStatusTable()
                 if silent_for is not None:
-                    silent = Word(1, WordState.silent, record.name)
-                    words.take(silent, 100 - silent_for)
-                gone = find_gone(roster, words, Ages(), 100)
-                self.assertEqual(record.name in gone, wanted)
+                    silent = MemberStatus(1, MemberState.silent, record.name)
+                    statuses.merge(silent, 100 - silent_for)
+                gone = find_gone(roster, statuses, DataCentreAges(), 100)
+                self.assertEqual(record.name in gone, expected)
 
 
 class TestListReader(unittest.TestCase):
-    """What a reader makes of its reads."""
+    """Updates from the reads of one reader."""
 
     def setUp(self) -> None:
-        """Read the whole list once."""
+        """Read the complete list once."""
         self.clock = FakeClock(100)
         self.reader = ListReader(self.clock)
         self.roster = Roster()
         self.read(INSTANCES)
 
     def read(self, instances: list[Instance]) -> list[Record]:
-        """Read a list and take over the news."""
-        news = self.reader.read(instances, self.roster)
-        self.roster = self.roster.merged(news)[0]
-        return news
+        """Read a list and merge the updates."""
+        updates = self.reader.read(instances, self.roster)
+        self.roster = self.roster.merged(updates)[0]
+        return updates
 
-    def test_leaving_is_news_at_once(self) -> None:
-        """The next read that says so is passed on."""
+    def test_leaving_is_published_at_once(self) -> None:
+        """A leaving instance is published at the next read."""
         leaving = replace(INSTANCES[0], state=InstanceState.leaving)
-        news = self.read([leaving, *INSTANCES[1:]])
-        self.assertEqual([record.listing for record in news], [1])
+        updates = self.read([leaving, *INSTANCES[1:]])
+        self.assertEqual([record.listing for record in updates], [1])
 
     def test_mass_omission_is_held(self) -> None:
-        """An empty list is believed only after a while."""
+        """An empty list is held back for some time."""
         self.assertEqual(self.read([]), [])
         self.assertTrue(self.reader.held)
         self.clock.advance(5)
         self.assertEqual(self.read(INSTANCES), [])
         self.assertFalse(self.reader.held)
 
-    def test_readers_that_disagree_do_not_fight(self) -> None:
-        """What another reader changed is corrected only after a while."""
+    def test_delayed_correction(self) -> None:
+        """Another reader's change is corrected only after a delay."""
         other = replace(record_of(INSTANCES[0], 2), listing=Listing.leaving)
         self.roster = self.roster.merged([other])[0]
         self.assertEqual(self.read(list(INSTANCES)), [])
         self.clock.advance(11)
-        news = self.read(list(INSTANCES))
-        self.assertEqual([record.version for record in news], [3])
+        updates = self.read(list(INSTANCES))
+        self.assertEqual([record.version for record in updates], [3])
--- a/tests/peers/test_connect.py
+++ b/tests/peers/test_connect.py
@@ -1,4 +1,4 @@
-"""Tests of streams in TLS with mutual authentication."""
+"""Tests of TLS streams with mutual authentication."""
 
 import asyncio
 import unittest
@@ -15,25 +15,25 @@
 
 OLD = Key(1, bytes(32))
 NEW = Key(2, b'7' * 32)
-#: A thief who knows the key's number only.
-FAKE = Key(1, b'8' * 32)
+#: Another secret under the number of a valid key.
+WRONG_SECRET = Key(1, b'8' * 32)
 HELLO = OpenRequests('entry-1')
 
 Serve = Callable[[MessageStream], Awaitable[None]]
 
 
 class Listener:
-    """A process that answers each stream, and what it took."""
+    """A process that answers each stream and counts the accepted ones."""
 
     def __init__(self, *keys: Key) -> None:
-        """Listen with ``keys``."""
+        """Initialize with the keys that are accepted."""
         self.ring = KeyRing(keys)
         self.process = ProcessContext('sidecar', 'test')
-        self.taken = 0
+        self.accepted = 0
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def __aenter__(self) -> Address:
-        """Start and return the address."""
+        """Start listening and return the address."""
         streams = PeerStreams(self.process, self.ring)
 
         def accept(stream: MessageStream) -> None:
@@ -44,19 +44,19 @@
         return address
 
     async def __aexit__(self, *_error: object) -> None:
-        """Stop."""
+        """Stop listening."""
         self._server.close()
         for task in self._tasks:
             task.cancel()
 
     async def _answer(self, stream: MessageStream) -> None:
         if await stream.receive() == HELLO:
-            self.taken += 1
+            self.accepted += 1
             await stream.send(TunnelOpened())
 
 
 async def ask(address: Address, *keys: Key) -> object:
-    """Say hello and return the answer, or None if refused."""
+    """Send a hello and return the answer, or None if refused."""
     process = ProcessContext('entry', 'test')
     streams = PeerStreams(process, KeyRing(keys))
     try:
@@ -71,25 +71,28 @@
 
 
 async def tunnel(*, cut: bool) -> bytes:
-    """Send through a tunnel to a server that answers after the end.
+    """Send through a tunnel to a server that answers at end of file.
+
+    Args:
+        cut: Whether the far side interrupts the stream instead.
 
     Returns:
-        What the caller gets back.
+        The bytes that the caller receives.
 
     Raises:
-        OSError: the caller's connection was reset.
+        OSError: The caller's connection was reset.
     """
     ring = KeyRing([OLD])
     streams = PeerStreams(ProcessContext('entry', 'test'), ring)
     tasks: set[asyncio.Task[None]] = set()
 
-    async def far(stream: MessageStream) -> None:
+    async def serve_far_end(stream: MessageStream) -> None:
         if cut:
             stream.writer.write(b'\0\0\0\5half')
             await stream.writer.drain()
             stream.writer.close()
             return
-        reader, writer = await asyncio.open_connection(*upstream_at)
+        reader, writer = await asyncio.open_connection(*upstream_address)
         await pump_both(reader, writer, stream)
 
     async def upstream(
@@ -99,20 +102,20 @@
         writer.write(b'got ' + await reader.read())
         writer.close()
 
-    async def near(
+    async def serve_near_end(
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
-        await pump_both(reader, writer, await streams.connect(far_at))
+        await pump_both(reader, writer, await streams.connect(far_address))
 
     server = await asyncio.start_server(upstream, '127.0.0.1', 0)
-    upstream_at = server.sockets[0].getsockname()
+    upstream_address = server.sockets[0].getsockname()
     listener = await streams.listen(
         ('127.0.0.1', 0),
-        lambda stream: tasks.add(asyncio.ensure_future(far(stream))),
+        lambda stream: tasks.add(asyncio.ensure_future(serve_far_end(stream))),
     )
-    far_at = listener.sockets[0].getsockname()
-    front = await asyncio.start_server(near, '127.0.0.1', 0)
+    far_address = listener.sockets[0].getsockname()
+    front = await asyncio.start_server(serve_near_end, '127.0.0.1', 0)
     try:
         reader, writer = await asyncio.open_connection(
             *front.sockets[0].getsockname(),
@@ -127,11 +130,11 @@
 
 
 class TestStreams(unittest.IsolatedAsyncioTestCase):
-    """Who gets in, and who does not."""
+    """Authentication by keys."""
 
     async def test_keys(self) -> None:
-        """A common key is enough when each side trusts the other's first."""
-        for own, others, opens in (
+        """Streams open if each side accepts the other's first key."""
+        for own, others, expected in (
             ((OLD,), (OLD,), True),
             ((OLD,), (OLD, NEW), True),
             ((OLD, NEW), (OLD,), True),
@@ -139,18 +142,18 @@
             ((NEW, OLD), (OLD, NEW), True),
             ((NEW,), (NEW, OLD), True),
             ((OLD,), (NEW,), False),
-            ((OLD,), (FAKE,), False),
-            ((OLD, NEW), (FAKE,), False),
+            ((OLD,), (WRONG_SECRET,), False),
+            ((OLD, NEW), (WRONG_SECRET,), False),
         ):
             with self.subTest(own=own, others=others):
                 listener = Listener(*own)
                 async with listener as address:
                     answer = await ask(address, *others)
-                self.assertEqual(answer == TunnelOpened(), opens)
-                self.assertEqual(listener.taken, int(opens))
+                self.assertEqual(answer == TunnelOpened(), expected)
+                self.assertEqual(listener.accepted, int(expected))
 
     async def test_counts_refusals(self) -> None:
-        """Plain bytes and foreign keys are counted, and nothing is taken."""
+        """Plain bytes and foreign keys are counted and refused."""
         listener = Listener(OLD)
         async with listener as address:
             reader, writer = await asyncio.open_connection(*address)
@@ -164,10 +167,10 @@
         self.assertGreaterEqual(
             listener.process.metrics.value(Drop.unkeyed_stream), 1
         )
-        self.assertEqual(listener.taken, 0)
+        self.assertEqual(listener.accepted, 0)
 
     async def test_rotation_while_listening(self) -> None:
-        """Each step of a rotation lets the others in; the last one ends it."""
+        """Peers connect in each step of a rotation; then the old key fails."""
         listener = Listener(OLD)
         async with listener as address:
             for own, others in (
@@ -184,14 +187,14 @@
 
 
 class TestTunnel(unittest.IsolatedAsyncioTestCase):
-    """Bytes both ways, half closes and cuts."""
+    """Half-closed and interrupted tunnels."""
 
     async def test_half_close(self) -> None:
-        """The caller may stop sending and still gets the answer."""
+        """A caller that has closed its sending side gets the answer."""
         answer = await tunnel(cut=False)
         self.assertEqual(answer, b'got ' + b'x' * 100_000)
 
-    async def test_cut(self) -> None:
-        """A cut stream is a reset to the caller, never a clean end."""
+    async def test_interrupted_stream(self) -> None:
+        """An interrupted stream resets the caller's connection."""
         with self.assertRaises(OSError):
             await tunnel(cut=True)
--- a/tests/peers/test_datagrams.py
+++ b/tests/peers/test_datagrams.py
@@ -21,43 +21,43 @@
 
 
 class TestSubscriptions(unittest.TestCase):
-    """Several parts share one socket."""
+    """Several components share one socket."""
 
     def setUp(self) -> None:
-        """Make a socket whose handlers keep what they got."""
+        """Create a socket whose handlers record their messages."""
         self.metrics = Metrics()
         self.peers = PeerSocket(KEYS, self.metrics)
         self.owners: list[Message] = []
         self.others: list[Message] = []
-        self.peers.subscribe(Owner, self.take_owner)
-        self.peers.on_message = self.take_other
+        self.peers.subscribe(Owner, self.record_owner)
+        self.peers.on_message = self.record_other
 
-    def take_owner(self, received: Message, _sender: object) -> None:
-        """Keep a message of the subscribed class."""
+    def record_owner(self, received: Message, _sender: object) -> None:
+        """Record a message of the subscribed class."""
         self.owners.append(received)
 
-    def take_other(self, received: Message, _sender: object) -> None:
-        """Keep any other message."""
+    def record_other(self, received: Message, _sender: object) -> None:
+        """Record any other message."""
         self.others.append(received)
 
     def test_by_class(self) -> None:
-        """Each class reaches its own subscriber, the rest the default."""
+        """Messages go to the subscriber of their class, or the default."""
         network = FakeNetwork(FakeClock(), random.Random(1))
         network.bind(RECEIVER, self.peers.receive)
-        sending = PeerSocket(KEYS, Metrics())
-        sending.use(network.bind(SENDER, sending.receive))
+        sender_socket = PeerSocket(KEYS, Metrics())
+        sender_socket.use(network.bind(SENDER, sender_socket.receive))
         for sent in (OWNER, CANCEL):
-            sending.send_message(sent, RECEIVER)
+            sender_socket.send_message(sent, RECEIVER)
         network.run(1)
         self.assertEqual((self.owners, self.others), ([OWNER], [CANCEL]))
 
     def test_one_subscriber_a_class(self) -> None:
-        """A second subscriber is an error of the program."""
+        """A second subscriber of a class is a programming error."""
         with self.assertRaises(ValueError):
-            self.peers.subscribe(Owner, self.take_other)
+            self.peers.subscribe(Owner, self.record_other)
 
     def test_unkeyed_is_counted(self) -> None:
-        """What is not sealed reaches nobody."""
+        """An unsealed datagram is counted and reaches no handler."""
         self.peers.receive(b'\0' + encode(OWNER), SENDER)
         self.assertEqual(self.metrics.value(Drop.unkeyed), 1)
         self.assertEqual((self.owners, self.others), ([], []))
--- a/tests/peers/test_freshness.py
+++ b/tests/peers/test_freshness.py
@@ -1,4 +1,4 @@
-"""Tests of the lease, the reads by rank, and documents in pieces."""
+"""Tests of the lease, reader selection and document transfer."""
 
 import random
 import unittest
@@ -10,7 +10,7 @@
 from siskinbank.peers.freshness import LEASE_SECONDS, Freshness
 from siskinbank.peers.rate import TokenBucket
 from siskinbank.peers.readers import FALLBACK_CALLS, READERS, read_interval
-from siskinbank.peers.transfer import PIECE_BYTES, Fetcher, serve_ask
+from siskinbank.peers.transfer import PIECE_BYTES, PieceCollector, serve_ask
 from siskinbank.directory.store import DocumentStore
 from siskinbank.util import hex_digest
 from siskinbank.wire.gossip import Ask, Piece
@@ -20,34 +20,34 @@
 
 
 class TestFreshness(unittest.TestCase):
-    """A process that wakes late does not act on old beliefs."""
+    """A process that was paused does not act on outdated state."""
 
     def setUp(self) -> None:
-        """Make a lease that a peer has just renewed."""
+        """Create a lease that a peer has just renewed."""
         self.clock = FakeClock(100)
         log: EventLog = QuietLog()
         self.lease = Freshness(self.clock, log, random.Random(1))
-        self.lease.hear(self.lease.nonce)
+        self.lease.note_reply(self.lease.nonce)
 
     def tick(self, count: int) -> None:
-        """Let seconds pass awake."""
+        """Let seconds pass while the process runs."""
         for _ in range(count):
             self.clock.advance(1)
             self.lease.tick()
 
     def test_pause(self) -> None:
-        """After a pause only an answer to a new question counts."""
-        old = self.lease.nonce
+        """After a pause only a reply to a new request renews the lease."""
+        old_nonce = self.lease.nonce
         self.clock.advance(LEASE_SECONDS + 5)
         self.assertFalse(self.lease.fresh)
-        self.lease.hear(old)
+        self.lease.note_reply(old_nonce)
         self.assertFalse(self.lease.fresh)
         self.lease.tick()
-        self.lease.hear(self.lease.nonce)
+        self.lease.note_reply(self.lease.nonce)
         self.assertTrue(self.lease.fresh)
 
-    def test_alone(self) -> None:
-        """When nobody answers, the process goes on after a while awake."""
+    def test_isolated(self) -> None:
+        """Without replies the process is isolated and continues."""
         self.clock.advance(LEASE_SECONDS + 5)
         self.lease.tick()
         self.assertFalse(self.lease.fresh)
@@ -59,10 +59,10 @@
 
 
 class TestReaders(unittest.TestCase):
-    """Who reads, and how often."""
+    """Which processes read, and how often."""
 
     def test_cases(self) -> None:
-        """Readers read; others only when their readers are silent."""
+        """Other processes read only when the readers fail."""
         rng = random.Random(1)
         self.assertEqual(read_interval(0, 0, 10, rng), 1)
         self.assertIsNone(read_interval(READERS, 1, 10, rng))
@@ -70,7 +70,7 @@
         self.assertIsNone(read_interval(READERS + 9, 5, 10, rng))
 
     def test_fallback_rate(self) -> None:
-        """All together stay below the fixed rate, whatever the fleet."""
+        """The total fallback rate is bounded for any fleet size."""
         rng = random.Random(1)
         for size in (100, 1000, 3610):
             with self.subTest(size):
@@ -83,10 +83,10 @@
 
 
 class TestTransfer(unittest.TestCase):
-    """Documents in pieces, over a link that loses and lies."""
+    """Documents in pieces, with lost and invalid pieces."""
 
     def test_lossy_transfer(self) -> None:
-        """A document arrives whole though every third piece is lost."""
+        """A document arrives complete though every third piece is lost."""
         clock = FakeClock()
         log = QuietLog()
         raw = random.Random(1).randbytes(SIZE)
@@ -94,32 +94,34 @@
         source = DocumentStore(log, Metrics())
         source.put_raw(raw)
         store = DocumentStore(log, Metrics())
-        asks: list[Ask] = []
-        fetcher = Fetcher(store, lambda sent, _to: asks.append(sent), clock)
+        requests: list[Ask] = []
+        collector = PieceCollector(
+            store, lambda sent, _to: requests.append(sent), clock
+        )
         rate = TokenBucket(SIZE * 9, SIZE * 9, clock)
         rng = random.Random(2)
 
         def deliver(sent: Piece, _receiver: object) -> None:
             if rng.random() > 1 / 3:
-                fetcher.take(sent, PEER)
+                collector.add_piece(sent, PEER)
 
         for _ in range(100):
-            fetcher.want([digest], PEER)
-            while asks:
-                asked = asks.pop()
-                serve_ask(asked, PEER, source, deliver, rate, Metrics())
+            collector.request_missing([digest], PEER)
+            while requests:
+                request = requests.pop()
+                serve_ask(request, PEER, source, deliver, rate, Metrics())
             if store.blob(digest):
                 break
             clock.advance(0.3)
         self.assertEqual(store.blob(digest), source.blob(digest))
 
-    def test_unsound_pieces(self) -> None:
-        """Pieces that nobody asked for or that do not fit are dropped."""
+    def test_invalid_pieces(self) -> None:
+        """Pieces that were not requested or are invalid are dropped."""
         store = DocumentStore(QuietLog(), Metrics())
-        fetcher = Fetcher(store, lambda _sent, _to: None, FakeClock())
+        collector = PieceCollector(store, lambda _sent, _to: None, FakeClock())
         digest = bytes(16)
-        self.assertFalse(fetcher.take(Piece(digest, 0, 1, b'x'), PEER))
-        fetcher.want([digest], PEER)
+        self.assertFalse(collector.add_piece(Piece(digest, 0, 1, b'x'), PEER))
+        collector.request_missing([digest], PEER)
         for piece in (
             Piece(digest, 1, 1, b'x'),
             Piece(digest, -1, 1, b'x'),
@@ -128,5 +130,5 @@
             Piece(digest, 0, 1, b'not compressed'),
         ):
             with self.subTest(piece):
-                self.assertFalse(fetcher.take(piece, PEER))
+                self.assertFalse(collector.add_piece(piece, PEER))
                 self.assertIsNone(store.blob(digest))
--- a/tests/peers/test_border.py
+++ b/tests/peers/test_fuzzing.py
@@ -1,4 +1,8 @@
-"""Whatever a keyed peer or a caller sends: no crash, bounded, and counted."""
+"""Fuzz tests of the input from peers and callers.
+
+Input of any form must not crash a process, must cause a bounded number of
+datagrams, and must be counted when it is dropped.
+"""
 
 import dataclasses
 import functools
@@ -23,7 +27,7 @@
 LOWEST = -(1 << 63)
 HIGHEST = (1 << 64) - 1
 NUMBERS = st.integers(LOWEST, HIGHEST) | st.sampled_from((0, -1))
-#: Values of each field type, the odd ones included.
+#: Values of each field type, including edge cases.
 FIELDS: dict[Any, st.SearchStrategy[Any]] = {
     int: NUMBERS,
     str: st.text(max_size=20),
@@ -38,7 +42,7 @@
 
 @st.composite
 def any_message(draw: st.DrawFn) -> bytes:
-    """Return the msgpack form of any message with any fields."""
+    """Return a message of any class with arbitrary fields, in msgpack."""
     kind = draw(st.sampled_from(KINDS))
     fields = dataclasses.fields(kind)  # type: ignore[arg-type]
     given_fields = [draw(FIELDS[field.type]) for field in fields]
@@ -47,11 +51,11 @@
 
 @st.composite
 def any_envelope(draw: st.DrawFn) -> bytes:
-    """Return an envelope whose parts may have any value."""
+    """Return an envelope with arbitrary fields."""
     number = st.integers(0, (1 << 64) - 1)
     flow = Flow('10.9.0.1', draw(st.integers(1, 9)), *SERVICE_ADDRESS)
     inner = make_packet(flow, draw(st.sampled_from((SYN, ACK))))
-    known = st.integers(0, HOSTS).map(_packed)
+    host = st.integers(0, HOSTS).map(_packed)
     return Envelope(
         draw(st.integers(0, 255)),
         draw(st.integers(0, 15)),
@@ -60,7 +64,7 @@
         draw(st.integers(0, 3) | number),
         draw(st.just(0) | number),
         draw(st.binary(min_size=6, max_size=6)),
-        tuple(draw(st.lists(known, max_size=8))),
+        tuple(draw(st.lists(host, max_size=8))),
         draw(st.just(inner) | st.binary(max_size=60)),
     ).pack()
 
@@ -71,7 +75,7 @@
 
 @functools.cache
 def make_pool() -> Pool:
-    """Return a pool that all examples share, so that faults add up."""
+    """Return a pool that all examples share, so that damage accumulates."""
     pool = Pool(seed=1)
     pool.add_entry('entry-1', 1)
     for number in range(HOSTS):
@@ -91,7 +95,7 @@
 
 
 def receive(body: bytes) -> None:
-    """Hand a sealed body to the entry and to each sidecar."""
+    """Deliver a sealed body to the entry and to each sidecar."""
     pool = make_pool()
     sealed = RING.seal(body)
     addresses = [host_address(number) for number in range(HOSTS)]
@@ -100,25 +104,25 @@
     pool.run(0.2)
 
 
-class TestBorder(unittest.TestCase):
-    """Bytes from outside and from peers."""
+class TestArbitraryInput(unittest.TestCase):
+    """Arbitrary bytes from peers and callers."""
 
     @given(any_message())
     @settings(max_examples=120, deadline=None)
     def test_any_message(self, raw: bytes) -> None:
-        """A control message with any fields does no harm."""
+        """A control message with arbitrary fields raises nothing."""
         receive(b'\0' + ReplayGuard().stamp() + raw)
 
     @given(st.binary(min_size=1, max_size=120))
     @settings(max_examples=100, deadline=None)
     def test_any_body(self, body: bytes) -> None:
-        """Any sealed bytes do no harm."""
+        """Arbitrary sealed bytes raise nothing."""
         receive(body)
 
     @given(any_envelope())
     @settings(max_examples=120, deadline=None)
     def test_any_envelope(self, body: bytes) -> None:
-        """An envelope with any parts does no harm and does not go round."""
+        """An arbitrary envelope raises nothing and does not loop."""
         pool = make_pool()
         before = pool.network.datagrams
         receive(body)
@@ -127,18 +131,18 @@
     @given(st.binary(max_size=100), st.data())
     @settings(max_examples=100, deadline=None)
     def test_any_packet(self, noise: bytes, draw: st.DataObject) -> None:
-        """A caller's packet is passed on or counted as dropped."""
+        """A caller's packet is forwarded or counted as dropped."""
         flow = Flow('10.9.0.1', 2000, *SERVICE_ADDRESS)
         packet = bytearray(make_packet(flow, SYN, b'x'))
-        place = draw.draw(st.integers(0, len(packet) - 1))
-        packet[place] = draw.draw(st.integers(0, 255))
+        position = draw.draw(st.integers(0, len(packet) - 1))
+        packet[position] = draw.draw(st.integers(0, 255))
         pool = make_pool()
         entry = pool.entries['entry-1']
         for datagram in (noise, bytes(packet)):
             drops = entry.process.metrics.total('drop')
             sent = pool.network.datagrams
             entry.ingress.receive(datagram, SENDER)
-            sent_on = pool.network.datagrams - sent
+            forwarded = pool.network.datagrams - sent
             dropped = entry.process.metrics.total('drop') - drops
-            self.assertGreater(sent_on + dropped, 0, datagram)
+            self.assertGreater(forwarded + dropped, 0, datagram)
         pool.run(0.2)
