--- a/examples/library/generations.py
+++ b/examples/library/generations.py
@@ -1,4 +1,4 @@
-"""Three processes pass a document on; an older one never comes back."""
+"""Distribute a document among three processes; older ones are ignored."""
 
 import random
 from collections.abc import Callable
@@ -22,15 +22,15 @@
 in_force: dict[str, str] = {}
 
 
-def judge(
+def parse_text(
     _manifest: Manifest, read: Callable[[str], bytes], _wrong: Any
 ) -> Any:
-    """Any text is a valid document here."""
+    """Return the document; any text is valid in this example."""
     return read('greeting').decode()
 
 
 def start(number: int) -> Gossip:
-    """Start a process that knows the first one."""
+    """Start a process with the first one as its seed."""
     name, address = f'p{number}', (f'10.0.0.{number}', 7100)
     log, metrics = EventLog('peer', name), Metrics()
 
@@ -41,7 +41,7 @@
 
     gossip = Gossip(
         Identity(name, 'entry', 'a', address, 1),
-        DocumentStore(log, metrics, judge),
+        DocumentStore(log, metrics, parse_text),
         timers,
         send,
         log,
@@ -57,7 +57,7 @@
 
 
 def publish(gossip: Gossip, generation: int, text: str) -> bool:
-    """Give one process a document, as if it had read it somewhere."""
+    """Offer a document to one process, as if read from the platform."""
     raw = text.encode()
     manifest = Manifest(generation, {'greeting': hex_digest(raw)})
     gossip.store.put_raw(raw)
@@ -66,7 +66,7 @@
 
 
 def wait(seconds: float) -> None:
-    """Let time pass."""
+    """Advance the clock in steps and run the due timers."""
     for _ in range(round(seconds * 100)):
         clock.advance(0.01)
         timers.run_due()
--- a/examples/library/keys.py
+++ b/examples/library/keys.py
@@ -1,4 +1,4 @@
-"""Seal datagrams with keys that rotate without a gap; refuse replays."""
+"""Seal datagrams, rotate keys without interruption, and refuse replays."""
 
 from siskinbank.coordination import Key, KeyRing, ReplayGuard
 
--- a/examples/library/leases.py
+++ b/examples/library/leases.py
@@ -1,4 +1,4 @@
-"""A belief that ends by itself, even if the machine was suspended."""
+"""Entries that expire, also while the machine is suspended."""
 
 from siskinbank.coordination import FakeClock, Leases
 
--- a/examples/library/limit.py
+++ b/examples/library/limit.py
@@ -1,4 +1,4 @@
-"""Bear little at first, then more, and fall when the host turns cold."""
+"""A limit that rises during warm-up and is reset when the host is cold."""
 
 from siskinbank.coordination import ClimbingLimit, FakeClock
 
--- a/examples/library/ranking.py
+++ b/examples/library/ranking.py
@@ -1,4 +1,4 @@
-"""Members agree on who does what without talking to each other."""
+"""Assign keys to members by rendezvous hashing, without communication."""
 
 from siskinbank.coordination import prepare_ranking
 
--- a/examples/library/retry.py
+++ b/examples/library/retry.py
@@ -1,4 +1,4 @@
-"""Retry for a share of the fresh work, with jittered pauses."""
+"""A retry budget as a share of new requests, and jittered backoff."""
 
 import random
 
--- a/examples/library/tickets.py
+++ b/examples/library/tickets.py
@@ -1,4 +1,4 @@
-"""One piece of work runs once, in one life of one host, or nowhere."""
+"""Run a piece of work at most once, in one incarnation of one host."""
 
 from siskinbank.coordination import FakeClock, OnceRegister, TicketOffice
 
@@ -9,7 +9,7 @@
 
 
 def run(text: str, key: str) -> str:
-    """Run the work of a ticket unless it ran."""
+    """Run the work of a ticket unless it has already run."""
     doubt = office.check(text, 7, key)
     if doubt is not None:
         return doubt.value
--- a/examples/library/timers.py
+++ b/examples/library/timers.py
@@ -1,4 +1,4 @@
-"""Periodic work that is driven by hand, as tests do, and then by asyncio."""
+"""Periodic callbacks, run manually as in tests and then by asyncio."""
 
 import asyncio
 
@@ -14,13 +14,13 @@
 heartbeat.cancel()
 print('beats at', beats)
 
-# In a program the service runs as one task, on a clock that counts suspension.
+# In a program the service runs as one task; its clock includes suspension.
 real = TimerService()
 done = asyncio.Event()
 
 
 async def main() -> None:
-    """Wait for one call."""
+    """Run the service until the callback has been called."""
     real.after(0.01, done.set)
     running = asyncio.create_task(real.run())
     await done.wait()
--- a/examples/plugins/first_choice.py
+++ b/examples/plugins/first_choice.py
@@ -1,4 +1,4 @@
-"""A choice plug-in: rank the hosts by weight only, the same for each flow."""
+"""A choice plug-in that ranks hosts by weight, the same for all flows."""
 
 from collections.abc import Sequence
 
--- a/examples/plugins/hello_ingress.py
+++ b/examples/plugins/hello_ingress.py
@@ -1,4 +1,4 @@
-"""An ingress plug-in: tell each caller which hosts would serve it."""
+"""An ingress plug-in that sends each caller the hosts that would serve it."""
 
 import asyncio
 
@@ -16,7 +16,7 @@
     address: str,
     port: int,
 ) -> IngressHandle:
-    """Listen for callers; one task for each, until it is answered.
+    """Listen for callers and answer each one in a task.
 
     Raises:
         OSError: the address could not be bound.
--- a/siskinbank/__main__.py
+++ b/siskinbank/__main__.py
@@ -1,4 +1,4 @@
-"""Run the command line with ``python -m siskinbank``."""
+"""Entry point of ``python -m siskinbank``."""
 
 from siskinbank.commands import main
 
--- a/siskinbank/commands/__init__.py
+++ b/siskinbank/commands/__init__.py
@@ -1,4 +1,4 @@
-"""The command line: one module for each command, loaded when it is used."""
+"""The command line: one module per command, imported on first use."""
 
 import importlib
 import pkgutil
@@ -14,13 +14,13 @@
 
 
 class LazyGroup(click.Group):
-    """A group whose commands live in the modules of a package.
+    """A group whose commands are the modules of a package.
 
-    A module ``name`` holds its command as the attribute ``command``.
+    Each module defines its command as the attribute ``command``.
     """
 
     def __init__(self, package: str, *args: object, **kwargs: object) -> None:
-        """Look for commands in the modules of ``package``."""
+        """Create a group with the commands in the modules of ``package``."""
         super().__init__(*args, **kwargs)  # type: ignore[arg-type]
         self._package = package
 
@@ -39,7 +39,7 @@
         ctx: click.Context,
         cmd_name: str,
     ) -> click.Command | None:
-        """Load one command."""
+        """Import and return a command, or return None if there is none."""
         if cmd_name not in self.list_commands(ctx):
             return None
         known = super().get_command(ctx, cmd_name)
@@ -58,22 +58,22 @@
 )
 @click.version_option(__version__, prog_name='siskinbank')
 def _cli() -> None:
-    """Run and check a layer-4 load balancer.
+    """Run and inspect a layer-4 load balancer.
 
     \b
     On each entry instance:      siskinbank entry ...
     Beside each upstream:        siskinbank sidecar ...
-    Before you publish:          siskinbank check base.yaml site.yaml
-    To look into a process:      siskinbank status ADDRESS
-    To try it all on loopback:   siskinbank lab demo
+    Before publishing:           siskinbank check base.yaml site.yaml
+    To inspect a process:        siskinbank status ADDRESS
+    Demo on loopback:            siskinbank lab demo
 
-    Each option can also be given as an environment variable, shown in the
-    command's own help.
+    Each option can also be set by an environment variable, which is listed in
+    the help of the command.
     """
 
 
 def _command_path(error: click.ClickException) -> str:
-    """Return the command that an error belongs to."""
+    """Return the path of the command that failed."""
     context = getattr(error, 'ctx', None)
     return context.command_path if context else 'siskinbank'
 
--- a/siskinbank/commands/_options.py
+++ b/siskinbank/commands/_options.py
@@ -1,4 +1,4 @@
-"""Options that several commands share, and checks that name the bad value."""
+"""Options and parameter types that several commands share."""
 
 from collections.abc import Callable
 from typing import Any
@@ -21,10 +21,16 @@
 
 
 class CheckedType(click.ParamType[Any]):
-    """An option whose text is read by a function that names what is wrong."""
+    """A parameter type that parses its text with a function."""
 
     def __init__(self, name: str, read: Callable[[str], Any]) -> None:
-        """Read texts with ``read``, which raises ValueError for bad ones."""
+        """Initialize the type.
+
+        Args:
+            name: the name of the type in help texts.
+            read: parses a text; raises ValueError with the reason if it is
+                invalid.
+        """
         self.name = name
         self._read = read
 
@@ -34,7 +40,7 @@
         param: click.Parameter | None,
         ctx: click.Context | None,
     ) -> Any:
-        """Return what the text stands for."""
+        """Return the parsed value."""
         if not isinstance(value, str):
             return value
         try:
@@ -43,11 +49,11 @@
             self.fail(str(error), param, ctx)
 
 
-#: An option written as ``IP:PORT``.
+#: An address in the form ``IP:PORT``.
 ADDRESS = CheckedType('ip:port', parse_address)
-#: An option written as ``http://IP:PORT``.
+#: A URL in the form ``http://IP:PORT``.
 URL = CheckedType('url', parse_url)
-#: An option written as ``ID:HEX[,ID:HEX]``, or ``@FILE`` with that.
+#: Keys in the form ``ID:HEX[,ID:HEX]``, or ``@FILE`` to read them from a file.
 KEYS = CheckedType('keys', load_keys)
 
 
@@ -64,24 +70,24 @@
 
 
 def logging_options(command: Callable[..., Any]) -> Callable[..., Any]:
-    """Add the options for logs."""
+    """Add the logging options."""
     level = _option(
         '--log-level',
-        help_text='Least level that is written.',
+        help_text='Minimum level of log lines.',
         type=click.Choice(['DEBUG', 'INFO', 'WARNING', 'ERROR']),
         default='INFO',
     )
-    form = _option(
+    line_format = _option(
         '--log-format',
-        help_text='Form of the log lines.',
+        help_text='Format of log lines.',
         type=click.Choice(['text', 'json']),
         default='text',
     )
-    return level(form(command))
+    return level(line_format(command))
 
 
 def process_options(command: Callable[..., Any]) -> Callable[..., Any]:
-    """Add the options that every process of the system has."""
+    """Add the options that entries and sidecars have in common."""
     for decorate in (
         logging_options,
         _option(
@@ -98,20 +104,20 @@
         ),
         _option(
             '--peers',
-            help_text='Peer to ask first; may be given again. Not needed as '
-            'long as the platform lists the instances.',
+            help_text='Peer to contact first; may be repeated. Not needed while '
+            'the platform lists the instances.',
             type=ADDRESS,
             multiple=True,
         ),
         _option(
             '--admin',
-            help_text='Address for status and metrics.',
+            help_text='Address of the status and metrics endpoint.',
             type=ADDRESS,
             default='127.0.0.1:7180',
         ),
         _option(
             '--bind',
-            help_text="Address for the system's other processes, UDP and TCP.",
+            help_text='UDP and TCP address for other Siskinbank processes.',
             type=ADDRESS,
             required=True,
         ),
--- a/siskinbank/commands/_run.py
+++ b/siskinbank/commands/_run.py
@@ -1,4 +1,4 @@
-"""Run a process of the system and turn its failures into exit codes."""
+"""Run an entry or a sidecar and convert its errors into exit codes."""
 
 import os
 from collections.abc import Awaitable, Callable
@@ -10,7 +10,7 @@
 
 __all__ = ('EXIT_SOCKET', 'run_command')
 
-#: Exit code when an address could not be bound.
+#: Exit code if an address could not be bound.
 EXIT_SOCKET = 4
 
 
@@ -20,27 +20,27 @@
     log: tuple[str, str],
     start: Callable[[ProcessContext], Awaitable[None]],
 ) -> int:
-    """Set up logs and run until stopped.
+    """Set up logging and run a process until it is stopped.
 
     Args:
-        role: the process's role.
-        name: the instance's name.
-        log: the log level and form.
-        start: starts the process's parts.
+        role: the role of the process.
+        name: the name of the instance.
+        log: the log level and format.
+        start: starts the components of the process.
 
     Returns:
-        The process's exit code.
+        The exit code of the process.
     """
     set_up_logging(*log)
     try:
         return run_process(role, name, start)
     except OSError as error:
-        click.echo(f'siskinbank {role}: {_explain(error)}', err=True)
+        click.echo(f'siskinbank {role}: {_describe_error(error)}', err=True)
         return EXIT_SOCKET
 
 
-def _explain(error: OSError) -> str:
-    """Say what failed, and why if the message leaves it out."""
-    what = str(error.strerror or error)
-    why = os.strerror(error.errno) if error.errno else ''
-    return what if why in what else f'{what}: {why}'
+def _describe_error(error: OSError) -> str:
+    """Return the message of an error, with its cause if that is missing."""
+    message = str(error.strerror or error)
+    cause = os.strerror(error.errno) if error.errno else ''
+    return message if cause in message else f'{message}: {cause}'
--- a/siskinbank/commands/check.py
+++ b/siskinbank/commands/check.py
@@ -1,8 +1,8 @@
-"""``siskinbank check``: validate a base file and overlays."""
+"""``siskinbank check``: validate a base file and its overlays."""
 
 import click
 
-from siskinbank.config.overlay import load_files, served
+from siskinbank.config.overlay import load_files, remove_unserved
 from siskinbank.kernel.findings import Findings
 
 __all__ = ('command',)
@@ -12,15 +12,15 @@
 @click.argument('base')
 @click.argument('overlays', nargs=-1)
 def command(base: str, overlays: tuple[str, ...]) -> int:
-    """Validate BASE with the OVERLAYS laid over it.
+    """Validate BASE merged with the OVERLAYS.
 
-    Prints all findings together, one a line:
+    Prints all findings, one per line:
 
     \b
-        FILE:LINE: path.in.document: what is wrong; what would be right
+        FILE:LINE: path.in.document: problem; correction
 
     \b
-    Exit codes: 0 when all is right, 1 with findings.
+    Exit codes: 0 if the configuration is valid, 1 with findings.
     """
     findings = Findings()
     model = load_files(base, overlays, findings)
@@ -29,14 +29,14 @@
     if model is None:
         click.echo(f'{len(findings)} findings', err=True)
         return 1
-    here = served(model).services
-    hosts = sum(len(service.hosts) for service in here.values())
+    served_services = remove_unserved(model).services
+    hosts = sum(len(service.hosts) for service in served_services.values())
     click.echo(
-        f'{model.site}: {len(here)} services, {hosts} hosts, '
+        f'{model.site}: {len(served_services)} services, {hosts} hosts, '
         f'{len(model.data_centres)} data centres',
     )
-    elsewhere = sorted(model.services.keys() - here.keys())
-    if elsewhere:
-        names = ', '.join(elsewhere)
-        click.echo(f'without hosts, so not served here: {names}')
+    unserved = sorted(model.services.keys() - served_services.keys())
+    if unserved:
+        names = ', '.join(unserved)
+        click.echo(f'not served, without hosts: {names}')
     return 0
--- a/siskinbank/commands/entry.py
+++ b/siskinbank/commands/entry.py
@@ -20,15 +20,15 @@
 )
 @option(
     '--listen',
-    help_text='IP number on which services without one listen.',
+    help_text='IP address for services that do not set one.',
     default='0.0.0.0',
 )
 def command(log_level: str, log_format: str, **given: Any) -> int:
-    """Take packets, connections and requests, and hand them to sidecars.
+    """Accept packets, connections and requests and forward them to sidecars.
 
     \b
-    Exit codes: 0 after a planned stop, 2 for bad options, 3 when a second
-    signal cut work short, 4 when an address could not be bound.
+    Exit codes: 0 after a planned stop, 2 for invalid options, 3 if a second
+    signal interrupted work, 4 if an address could not be bound.
     """
     from siskinbank.entry.daemon import start_entry
     from siskinbank.settings import EntrySettings
--- a/siskinbank/commands/keys.py
+++ b/siskinbank/commands/keys.py
@@ -1,4 +1,4 @@
-"""``siskinbank keys``: make, rotate and check the keys of a fleet."""
+"""``siskinbank keys``: create, rotate and check the keys of a fleet."""
 
 import secrets
 
@@ -12,11 +12,11 @@
 
 @click.group('keys')
 def command() -> None:
-    """Make, rotate and check the keys that the processes share.
+    """Create, rotate and check the keys that the processes share.
 
-    Keys are written ID:HEX[,ID:HEX], or @FILE to read them from a file. The
-    first key seals datagrams and stands for the process's certificate; all
-    that are written are accepted.
+    Keys have the form ID:HEX[,ID:HEX], or @FILE to read them from a file. The
+    first key seals datagrams and determines the certificate of the process;
+    all listed keys are accepted.
     """
 
 
@@ -26,7 +26,7 @@
     type=click.IntRange(0, MAX_KEY_ID),
     default=1,
     show_default=True,
-    help='The number that tells this key from others.',
+    help='Number that identifies the key.',
 )
 def make(number: int) -> int:
     """Print a new key."""
@@ -37,14 +37,14 @@
 @command.command('rotate')
 @click.argument('current', type=KEYS)
 def rotate(current: KeyRing) -> int:
-    """Print the three settings that lead from CURRENT to a new key.
+    """Print the three settings for a rotation from CURRENT to a new key.
 
-    Each of them must be in force everywhere before the next one is set; then
-    every process understands every other one at all times.
+    Each setting must be in force everywhere before the next one is applied, so
+    that every process accepts the datagrams of every other one at all times.
     """
     if len(current.keys) > 1:
         raise click.UsageError(
-            'two keys are valid: finish the rotation that is under way',
+            'two keys are valid: finish the current rotation first',
         )
     old = current.keys[0]
     new = _new_key((old.ident + 1) % (MAX_KEY_ID + 1))
@@ -57,13 +57,13 @@
 @command.command('check')
 @click.argument('keys', type=KEYS)
 def check(keys: KeyRing) -> int:
-    """Check KEYS and print their fingerprints, never the keys.
+    """Check KEYS and print their fingerprints, but not the keys.
 
     `siskinbank status` shows the same fingerprints for a running process.
 
     \b
-    Exit codes: 0 when all is right, 1 for a key that is easy to guess,
-    2 for keys that no process would take.
+    Exit codes: 0 if all keys are valid, 1 for a key that is easy to guess,
+    2 for keys that a process would refuse.
     """
     from siskinbank.wire.tls import certificate_of
 
@@ -74,7 +74,7 @@
         click.echo(f'{key.fingerprint} {use}')
         if key.is_weak:
             weak += 1
-            click.echo(f'key {key.ident}: repeats few bytes; make a new one')
+            click.echo(f'key {key.ident}: repeats few bytes; create a new key')
     return 1 if weak else 0
 
 
--- a/siskinbank/commands/lab.py
+++ b/siskinbank/commands/lab.py
@@ -1,4 +1,4 @@
-"""``siskinbank lab``: experiments, stand-ins and the demo."""
+"""``siskinbank lab``: experiments, test stand-ins and the demo."""
 
 import click
 
@@ -9,8 +9,8 @@
 
 @click.group('lab', cls=LazyGroup, package='siskinbank.lab.commands')
 def command() -> None:
-    """Measure the real code, beside a naive version on the same seed.
+    """Measure the real code and a naive version with the same seed.
 
     Experiments print a table, or one JSON document with --json, and exit
-    with 1 where a bound does not hold.
+    with 1 if a bound does not hold.
     """
--- a/siskinbank/commands/render.py
+++ b/siskinbank/commands/render.py
@@ -7,7 +7,7 @@
 import yaml
 
 from siskinbank.config.models import DocumentModel
-from siskinbank.config.overlay import load_files, served
+from siskinbank.config.overlay import load_files, remove_unserved
 from siskinbank.config.sections import split_sections
 from siskinbank.kernel.findings import Findings
 from siskinbank.util import hex_digest
@@ -21,13 +21,13 @@
 @click.option(
     '--against',
     metavar='OLD',
-    help='An earlier rendering; print what would change instead.',
+    help='Earlier output of this command; print only the differences.',
 )
 @click.option(
     '--publish',
     type=int,
     metavar='GENERATION',
-    help='Print manifest and sections as JSON, ready to be published.',
+    help='Print manifest and sections as JSON for publication.',
 )
 def command(
     base: str,
@@ -35,16 +35,16 @@
     against: str | None,
     publish: int | None,
 ) -> int:
-    """Print BASE with the OVERLAYS laid over it.
+    """Print BASE merged with the OVERLAYS.
 
     \b
-    Exit codes: 0 when all is right, 1 with findings.
+    Exit codes: 0 if the configuration is valid, 1 with findings.
     """
     model = _load(base, overlays)
     if model is None:
         return 1
     if publish is not None:
-        click.echo(json.dumps(_published(model, publish), indent=1))
+        click.echo(json.dumps(_make_publication(model, publish), indent=1))
         return 0
     if against is None:
         click.echo(yaml.safe_dump(model.model_dump(mode='json')), nl=False)
@@ -52,7 +52,7 @@
     old = _load(against, ())
     if old is None:
         return 1
-    for line in _changes(
+    for line in _list_changes(
         old.model_dump(mode='json'), model.model_dump(mode='json'), ''
     ):
         click.echo(line)
@@ -64,10 +64,10 @@
     model = load_files(base, overlays, findings)
     for finding in findings:
         click.echo(str(finding), err=True)
-    return served(model) if model else None
+    return remove_unserved(model) if model else None
 
 
-def _published(model: DocumentModel, generation: int) -> dict[str, Any]:
+def _make_publication(model: DocumentModel, generation: int) -> dict[str, Any]:
     sections = split_sections(model)
     return {
         'manifest': {
@@ -80,12 +80,12 @@
     }
 
 
-def _changes(old: Any, new: Any, path: str) -> list[str]:
+def _list_changes(old: Any, new: Any, path: str) -> list[str]:
     if isinstance(old, dict) and isinstance(new, dict):
         lines = []
         for key in sorted(old.keys() | new.keys()):
-            here = f'{path}.{key}' if path else str(key)
-            lines.extend(_changes(old.get(key), new.get(key), here))
+            key_path = f'{path}.{key}' if path else str(key)
+            lines.extend(_list_changes(old.get(key), new.get(key), key_path))
         return lines
     if old == new:
         return []
--- a/siskinbank/commands/sidecar.py
+++ b/siskinbank/commands/sidecar.py
@@ -1,4 +1,4 @@
-"""``siskinbank sidecar``: run the sidecar of one upstream."""
+"""``siskinbank sidecar``: run the sidecar of an upstream."""
 
 from typing import Any
 
@@ -19,32 +19,32 @@
 @process_options
 @option(
     '--upstream-packets',
-    help_text="The upstream's IP-in-UDP address.",
+    help_text='IP-in-UDP address of the upstream.',
     type=ADDRESS,
 )
 @option(
     '--upstream-tcp',
-    help_text="The upstream's address for plain connections.",
+    help_text='Address of the upstream for TCP connections.',
     type=ADDRESS,
 )
 @option(
     '--upstream-http',
-    help_text="The upstream's base URL for requests.",
+    help_text='Base URL of the upstream for requests.',
     type=URL,
 )
 @option(
     '--upstream-health',
-    help_text="URL of the upstream's health or load report.",
+    help_text='URL of the health or load report of the upstream.',
     type=URL,
 )
 def command(log_level: str, log_format: str, **given: Any) -> int:
-    """Admit work to the upstream beside this process, and own it.
+    """Admit work to the upstream and own its flows.
 
-    The name must be the host's name in the configuration.
+    The name must be the name of the host in the configuration.
 
     \b
-    Exit codes: 0 after a planned stop, 2 for bad options, 3 when a second
-    signal cut work short, 4 when an address could not be bound.
+    Exit codes: 0 after a planned stop, 2 for invalid options, 3 if a second
+    signal interrupted work, 4 if an address could not be bound.
     """
     from siskinbank.settings import SidecarSettings
     from siskinbank.sidecar.daemon import start_sidecar
--- a/siskinbank/commands/status.py
+++ b/siskinbank/commands/status.py
@@ -1,4 +1,4 @@
-"""``siskinbank status``: print what one process believes."""
+"""``siskinbank status``: print the known state of one process."""
 
 import json
 from typing import Any
@@ -10,7 +10,7 @@
 
 __all__ = ('command',)
 
-_SECONDS = 5
+_TIMEOUT_SECONDS = 5
 
 
 @click.command('status')
@@ -19,15 +19,15 @@
     '--json', 'as_json', is_flag=True, help='Print one JSON document.'
 )
 def command(address: tuple[str, int], as_json: bool) -> int:
-    """Ask the process with admin ADDRESS (IP:PORT) what it believes.
+    """Print the known state of the process with admin ADDRESS (IP:PORT).
 
     \b
     Exit codes: 0 with an answer, 1 without.
     """
     url = 'http://{0}:{1}/status'.format(*address)
     try:
-        with urlopen(url, timeout=_SECONDS) as answer:
-            document = json.load(answer)
+        with urlopen(url, timeout=_TIMEOUT_SECONDS) as response:
+            document = json.load(response)
     except (OSError, ValueError) as error:
         click.echo(
             f'siskinbank status: no answer from {url}: {error}', err=True
@@ -36,16 +36,16 @@
     if as_json:
         click.echo(json.dumps(document, indent=1))
         return 0
-    click.echo('\n'.join(_lines(document)))
+    click.echo('\n'.join(_format_status(document)))
     return 0
 
 
-def _lines(document: dict[str, Any]) -> list[str]:
-    """Return the status as operators read it, a fact a line."""
+def _format_status(document: dict[str, Any]) -> list[str]:
+    """Format the status document, one value per line."""
     counts = document.pop('counts')
     times = document.pop('times_seconds', {})
     lines = [
-        f'{name.replace("_", " ")}: {given}' for name, given in document.items()
+        f'{name.replace("_", " ")}: {value}' for name, value in document.items()
     ]
     lines.extend(
         f'{family} {reason}'.rstrip() + f': {count}'
@@ -53,6 +53,9 @@
         for reason, count in reasons.items()
     )
     for name, quantiles in times.items():
-        shown = ', '.join(f'{at}: {took:.6f}' for at, took in quantiles.items())
+        shown = ', '.join(
+            f'{quantile}: {seconds:.6f}'
+            for quantile, seconds in quantiles.items()
+        )
         lines.append(f'time of {name} in seconds: {shown}')
     return lines
--- a/siskinbank/config/__init__.py
+++ b/siskinbank/config/__init__.py
@@ -1,1 +1,1 @@
-"""What operators say about services: base file, overlays, checked models."""
+"""Service configuration: base file, overlays and validated models."""
--- a/siskinbank/config/check.py
+++ b/siskinbank/config/check.py
@@ -1,4 +1,4 @@
-"""Check documents: the models first, then what only the whole can show."""
+"""Validate documents: each value first, then rules across values."""
 
 from collections.abc import Callable
 from typing import Any
@@ -12,14 +12,14 @@
 
 __all__ = ('check_content',)
 
-#: Tells where a path of the effective document was written.
+#: Returns the place in the source files of a path in the effective document.
 Locate = Callable[[KeyPath], Place]
 
-_SHOWN_CHARACTERS = 60
-_ANY_ADDRESS = '0.0.0.0'
-_HINTS = {
-    'extra_forbidden': ('unknown key', 'remove it or correct its name'),
-    'missing': ('missing', 'write it here or in the base file'),
+_MAX_VALUE_CHARACTERS = 60
+_WILDCARD_ADDRESS = '0.0.0.0'
+_MESSAGES = {
+    'extra_forbidden': ('unknown key', 'remove or rename it'),
+    'missing': ('missing', 'add it here or in the base file'),
 }
 
 
@@ -36,34 +36,36 @@
     try:
         model = DocumentModel.model_validate(content)
     except ValidationError as error:
-        _translate(error, locate, findings)
+        _add_validation_errors(error, locate, findings)
         return None
     before = len(findings)
-    _check_whole(model, locate, findings)
+    _check_document(model, locate, findings)
     return model if len(findings) == before else None
 
 
-def _translate(
+def _add_validation_errors(
     error: ValidationError,
     locate: Locate,
     findings: Findings,
 ) -> None:
-    for problem in error.errors(include_url=False):
-        path = tuple(step for step in problem['loc'] if step != '[key]')
-        wrong, right = _HINTS.get(problem['type'], _explain(problem))
-        findings.add(locate(path), wrong, right)
+    for details in error.errors(include_url=False):
+        path = tuple(step for step in details['loc'] if step != '[key]')
+        problem, correction = _MESSAGES.get(
+            details['type'], _describe_error(details)
+        )
+        findings.add(locate(path), problem, correction)
 
 
-def _explain(problem: ErrorDetails) -> tuple[str, str]:
-    shown = repr(problem['input'])
-    if len(shown) > _SHOWN_CHARACTERS:
-        shown = f'{shown[:_SHOWN_CHARACTERS]}...'
-    message = problem['msg'].removeprefix('Value error, ')
-    right = message.replace('Input should', 'it should')
-    return f'{shown} is not allowed', right
+def _describe_error(details: ErrorDetails) -> tuple[str, str]:
+    value = repr(details['input'])
+    if len(value) > _MAX_VALUE_CHARACTERS:
+        value = f'{value[:_MAX_VALUE_CHARACTERS]}...'
+    message = details['msg'].removeprefix('Value error, ')
+    correction = message.replace('Input should', 'it should')
+    return f'{value} is not allowed', correction
 
 
-def _check_whole(
+def _check_document(
     model: DocumentModel,
     locate: Locate,
     findings: Findings,
@@ -73,22 +75,30 @@
     names: dict[str, KeyPath] = {}
     for name, service in model.services.items():
         path: KeyPath = ('services', name)
-        _check_cold(service, path, locate, findings)
+        _check_cold_limits(service, path, locate, findings)
         for kind, endpoint in service.ingress.items():
-            here: KeyPath = (*path, 'ingress', kind)
+            endpoint_path: KeyPath = (*path, 'ingress', kind)
             key = (_socket_family(kind), endpoint.address, endpoint.port)
-            _check_twice(endpoints, key, here, locate, findings)
-            _check_any_address(endpoints, key, here, locate, findings)
+            _check_unique(endpoints, key, endpoint_path, locate, findings)
+            _check_wildcard_address(
+                endpoints, key, endpoint_path, locate, findings
+            )
         for host_name, host in service.hosts.items():
-            there: KeyPath = (*path, 'hosts', host_name)
-            _check_twice(names, host_name, there, locate, findings)
-            _check_twice(
-                addresses, (host.address, host.port), there, locate, findings
+            host_path: KeyPath = (*path, 'hosts', host_name)
+            _check_unique(names, host_name, host_path, locate, findings)
+            _check_unique(
+                addresses,
+                (host.address, host.port),
+                host_path,
+                locate,
+                findings,
+            )
+            _check_data_centre(
+                model, host.data_centre, host_path, locate, findings
             )
-            _check_centre(model, host.data_centre, there, locate, findings)
 
 
-def _check_centre(
+def _check_data_centre(
     model: DocumentModel,
     centre: str,
     path: KeyPath,
@@ -109,7 +119,7 @@
     return 'sprayed' if kind == 'fou' else 'listening'
 
 
-def _check_twice(
+def _check_unique(
     seen: dict[Any, KeyPath],
     key: Any,
     path: KeyPath,
@@ -121,48 +131,52 @@
         return
     findings.add(
         locate(path),
-        f'{_shown(key)} is taken by {dotted(first)}',
-        'give each its own',
+        f'{_format_key(key)} is already used by {dotted(first)}',
+        'use a unique value',
     )
 
 
-def _shown(key: Any) -> str:
+def _format_key(key: Any) -> str:
     if isinstance(key, tuple):
         return ':'.join(str(part) for part in key[-2:])
     return repr(key)
 
 
-def _check_any_address(
+def _check_wildcard_address(
     endpoints: dict[tuple[str, str, int], KeyPath],
     key: tuple[str, str, int],
     path: KeyPath,
     locate: Locate,
     findings: Findings,
 ) -> None:
-    """Find a port that is taken on all addresses and again on one."""
+    """Find a port that is used on all addresses and again on one."""
     family, address, port = key
     for (other_family, other, other_port), first in endpoints.items():
         same_port = (other_family, other_port) == (family, port)
-        if same_port and other != address and _ANY_ADDRESS in {other, address}:
+        if (
+            same_port
+            and other != address
+            and _WILDCARD_ADDRESS in {other, address}
+        ):
             findings.add(
                 locate(path),
-                f'port {port} is taken by {dotted(first)}',
-                'give each its own port, or each an address of its own',
+                f'port {port} is already used by {dotted(first)}',
+                'use different ports, or a specific address for each',
             )
 
 
-def _check_cold(
+def _check_cold_limits(
     service: ServiceModel,
     path: KeyPath,
     locate: Locate,
     findings: Findings,
 ) -> None:
-    for what in ('connections', 'slots'):
-        cold = getattr(service.cold, what)
-        full = getattr(service, what)
+    for limit_name in ('connections', 'slots'):
+        cold = getattr(service.cold, limit_name)
+        full = getattr(service, limit_name)
         if cold > full:
             findings.add(
-                locate((*path, 'cold', what)),
+                locate((*path, 'cold', limit_name)),
                 f'cold limit {cold} is above the full limit {full}',
                 f'at most {full}',
             )
--- a/siskinbank/config/documents.py
+++ b/siskinbank/config/documents.py
@@ -1,4 +1,4 @@
-"""Read YAML documents and remember the line on which each value stands."""
+"""Read YAML documents with the line number of each value."""
 
 from dataclasses import dataclass, field
 from pathlib import Path
@@ -10,27 +10,27 @@
 
 __all__ = ('Document', 'KeyPath', 'dotted', 'read_document')
 
-#: The keys that lead to a value.
+#: The keys from the root of a document to a value.
 KeyPath = tuple[str | int, ...]
 
 _LOADER = getattr(yaml, 'CSafeLoader', yaml.SafeLoader)
 
 
 def dotted(path: KeyPath) -> str:
-    """Return a path as operators read it, such as ``services.matcher``."""
+    """Return a path in dotted notation, such as ``services.matcher``."""
     return '.'.join(str(step) for step in path)
 
 
 @dataclass(slots=True)
 class Document:
-    """One file's content with the place of each value."""
+    """The content of a file, with the line of each value."""
 
     file: str
     content: dict[str, Any] = field(default_factory=dict)
     lines: dict[KeyPath, int] = field(default_factory=dict)
 
     def place(self, path: KeyPath) -> Place:
-        """Return the place of a path, or of its nearest parent."""
+        """Return the place of a path, or of its nearest ancestor."""
         for length in range(len(path), -1, -1):
             if path[:length] in self.lines:
                 return Place(self.file, self.lines[path[:length]], dotted(path))
@@ -38,21 +38,21 @@
 
 
 def read_document(file: str, findings: Findings) -> Document:
-    """Read one YAML file; what is wrong with it becomes findings."""
+    """Read a YAML file; problems are added to the findings."""
     try:
         text = Path(file).read_text(encoding='utf-8')
     except (OSError, UnicodeError) as error:
         findings.add(
             Place(file),
             f'cannot be read ({getattr(error, "strerror", None) or error})',
-            'name a readable UTF-8 file',
+            'specify a readable UTF-8 file',
         )
         return Document(file)
     return parse_document(file, text, findings)
 
 
 def parse_document(file: str, text: str, findings: Findings) -> Document:
-    """Parse YAML text that stands for ``file``."""
+    """Parse YAML text; findings refer to it as ``file``."""
     document = Document(file)
     try:
         root = yaml.compose(text, Loader=_LOADER)
@@ -60,52 +60,56 @@
         mark = getattr(error, 'problem_mark', None)
         line = mark.line + 1 if mark else 1
         problem = getattr(error, 'problem', None) or type(error).__name__
-        findings.add(Place(file, line), f'not YAML ({problem})', 'mend it')
+        findings.add(
+            Place(file, line), f'invalid YAML ({problem})', 'correct the syntax'
+        )
         return document
     if isinstance(root, yaml.MappingNode):
-        reader = _Reader(document, findings)
-        document.content = reader.mapping(root, ())
+        converter = _NodeConverter(document, findings)
+        document.content = converter.mapping(root, ())
     else:
-        findings.add(Place(file), 'not a mapping', 'write `site:` and so on')
+        findings.add(Place(file), 'not a mapping', 'write keys such as `site:`')
     return document
 
 
-class _Reader:
-    """Turns nodes into values and notes their lines."""
+class _NodeConverter:
+    """Converts nodes to values and records their lines."""
 
     def __init__(self, document: Document, findings: Findings) -> None:
         self._document = document
         self._findings = findings
         self._scalars = yaml.SafeLoader('')
-        self._seen: set[int] = set()
+        self._seen_nodes: set[int] = set()
 
     def mapping(self, node: yaml.MappingNode, path: KeyPath) -> dict[str, Any]:
-        """Return a mapping; a key that stands twice is a finding."""
+        """Return a mapping; a duplicate key is a finding."""
         mapping: dict[str, Any] = {}
         for key_node, child in node.value:
             line = key_node.start_mark.line + 1
             if not isinstance(key_node, yaml.ScalarNode):
-                self._add(line, path, 'key is not a plain word', 'write one')
+                self._add(
+                    line, path, 'key is not a scalar', 'write a plain word'
+                )
                 continue
             key = str(key_node.value)
-            here = (*path, key)
+            key_path = (*path, key)
             if key in mapping:
-                first = self._document.lines[here]
-                wrong = f'key written again (first on line {first})'
-                self._add(line, here, wrong, 'keep one of the two')
+                first = self._document.lines[key_path]
+                problem = f'duplicate key (first on line {first})'
+                self._add(line, key_path, problem, 'remove one of the two')
                 continue
-            self._document.lines[here] = line
-            mapping[key] = self._value(child, here)
+            self._document.lines[key_path] = line
+            mapping[key] = self._value(child, key_path)
         return mapping
 
     def _value(self, node: yaml.Node, path: KeyPath) -> Any:
         line = node.start_mark.line + 1
         self._document.lines.setdefault(path, line)
-        if id(node) in self._seen:
-            wrong = 'an alias stands here'
-            self._add(line, path, wrong, 'write the value itself')
+        if id(node) in self._seen_nodes:
+            problem = 'aliases are not supported'
+            self._add(line, path, problem, 'write out the value')
             return None
-        self._seen.add(id(node))
+        self._seen_nodes.add(id(node))
         if isinstance(node, yaml.MappingNode):
             return self.mapping(node, path)
         if isinstance(node, yaml.SequenceNode):
@@ -120,9 +124,11 @@
             return self._scalars.construct_object(node, deep=True)
         except (yaml.YAMLError, ValueError) as error:
             problem = getattr(error, 'problem', None) or str(error)
-            self._add(line, path, f'bad value ({problem})', 'mend it')
+            self._add(line, path, f'invalid value ({problem})', 'correct it')
             return None
 
-    def _add(self, line: int, path: KeyPath, wrong: str, right: str) -> None:
+    def _add(
+        self, line: int, path: KeyPath, problem: str, correction: str
+    ) -> None:
         place = Place(self._document.file, line, dotted(path))
-        self._findings.add(place, wrong, right)
+        self._findings.add(place, problem, correction)
--- a/siskinbank/config/models.py
+++ b/siskinbank/config/models.py
@@ -1,4 +1,4 @@
-"""Validated models of the documents that operators write."""
+"""Validation models of the configuration documents."""
 
 import ipaddress
 from typing import Annotated, Any
@@ -9,7 +9,7 @@
 
 __all__ = (
     'CentreModel',
-    'ColdModel',
+    'ColdLimitsModel',
     'DocumentModel',
     'EndpointModel',
     'HostModel',
@@ -34,27 +34,27 @@
 Port = Annotated[int, Field(ge=1, le=_MAX_PORT)]
 
 
-class _Strict(BaseModel):
+class _StrictModel(BaseModel):
     model_config = ConfigDict(extra='forbid', frozen=True)
 
 
-class EndpointModel(_Strict):
-    """Where callers reach a service through one ingress."""
+class EndpointModel(_StrictModel):
+    """The address of a service at one ingress."""
 
     address: IpNumber = '0.0.0.0'
     port: Port
 
 
-class ColdModel(_Strict):
-    """What a host bears right after it started."""
+class ColdLimitsModel(_StrictModel):
+    """The limits of a host right after its start, and its warm-up time."""
 
     connections: Annotated[int, Field(ge=1, le=_MAX_CONNECTIONS)]
     slots: Annotated[int, Field(ge=1, le=_MAX_SLOTS)]
     warm_up_seconds: Annotated[float, Field(ge=0, le=_MAX_WARM_UP_SECONDS)]
 
 
-class HostModel(_Strict):
-    """One upstream and the sidecar beside it."""
+class HostModel(_StrictModel):
+    """An upstream and its sidecar."""
 
     data_centre: Name
     address: IpNumber
@@ -63,25 +63,25 @@
     state: HostState = HostState.active
 
 
-class ServiceModel(_Strict):
-    """A service and the pool behind it."""
+class ServiceModel(_StrictModel):
+    """A service and its pool of hosts."""
 
     ingress: Annotated[dict[Name, EndpointModel], Field(min_length=1)]
     connections: Annotated[int, Field(ge=1, le=_MAX_CONNECTIONS)] = 2000
     slots: Annotated[int, Field(ge=1, le=_MAX_SLOTS)] = 3
-    cold: ColdModel
+    cold: ColdLimitsModel
     hosts: dict[Name, HostModel] = {}
 
 
-class CentreModel(_Strict):
-    """A data centre of the site."""
+class CentreModel(_StrictModel):
+    """A data centre of a site."""
 
     region: Name = 'main'
-    state: CentreState = CentreState.inside
+    state: CentreState = CentreState.in_service
 
 
-class DocumentModel(_Strict):
-    """The effective document: a base file with its overlays laid over it."""
+class DocumentModel(_StrictModel):
+    """The effective document: a base file merged with its overlays."""
 
     site: Name
     data_centres: Annotated[dict[Name, CentreModel], Field(min_length=1)]
--- a/siskinbank/config/overlay.py
+++ b/siskinbank/config/overlay.py
@@ -1,4 +1,4 @@
-"""Lay overlays over a base file."""
+"""Merge overlays into a base file."""
 
 from collections.abc import Callable, Sequence
 from typing import Any
@@ -9,7 +9,7 @@
 from siskinbank.ingress.registry import ingresses
 from siskinbank.kernel.findings import Findings, Place
 
-__all__ = ('load_files', 'merge', 'served')
+__all__ = ('load_files', 'merge', 'remove_unserved')
 
 
 def load_files(
@@ -17,7 +17,7 @@
     overlays: Sequence[str],
     findings: Findings,
 ) -> DocumentModel | None:
-    """Read, merge and check a base file and its overlays.
+    """Read, merge and validate a base file and its overlays.
 
     Returns:
         The effective document, or None when findings were added.
@@ -29,16 +29,16 @@
     content = merge(documents, findings)
 
     def locate(path: KeyPath) -> Place:
-        return _locate(documents, path)
+        return _find_place(documents, path)
 
     model = check_content(content, locate, findings)
     if model is not None:
-        _check_kinds(model, locate, findings)
+        _check_ingresses(model, locate, findings)
     return model if len(findings) == before else None
 
 
-def served(model: DocumentModel) -> DocumentModel:
-    """Return the document without the services that have no hosts here."""
+def remove_unserved(model: DocumentModel) -> DocumentModel:
+    """Return the document without the services that have no hosts."""
     services = {
         name: service
         for name, service in model.services.items()
@@ -47,70 +47,77 @@
     return model.model_copy(update={'services': services})
 
 
-def _check_kinds(
+def _check_ingresses(
     model: DocumentModel,
     locate: Callable[[KeyPath], Place],
     findings: Findings,
 ) -> None:
     known = ingresses.module_names()
     for name, service in model.services.items():
-        for kind in service.ingress.keys() - known:
+        for ingress in service.ingress.keys() - known:
             findings.add(
-                locate(('services', name, 'ingress', kind)),
-                f'no ingress named {kind!r}',
+                locate(('services', name, 'ingress', ingress)),
+                f'no ingress named {ingress!r}',
                 'one of {0}'.format(', '.join(sorted(known))),
             )
 
 
 def merge(documents: Sequence[Document], findings: Findings) -> dict[str, Any]:
-    """Return the effective content; a later document goes first.
+    """Return the effective content; later documents take precedence.
 
-    A key that a later document gives as null is removed.
+    A key with the value null in a later document is removed.
     """
     content: dict[str, Any] = documents[0].content
     for overlay in documents[1:]:
-        content = _merge_one(content, overlay.content, (), overlay, findings)
+        content = _merge_mappings(
+            content, overlay.content, (), overlay, findings
+        )
     return content
 
 
-def _merge_one(
+def _merge_mappings(
     base: dict[str, Any],
-    over: dict[str, Any],
+    overrides: dict[str, Any],
     path: KeyPath,
     overlay: Document,
     findings: Findings,
 ) -> dict[str, Any]:
     merged = dict(base)
-    for key, given in over.items():
-        here = (*path, key)
+    for key, override in overrides.items():
+        key_path = (*path, key)
         known = base.get(key)
-        if given is None:
-            _remove(merged, key, overlay.place(here), findings)
+        if override is None:
+            _remove_key(merged, key, overlay.place(key_path), findings)
             continue
-        if isinstance(known, dict) and isinstance(given, dict):
-            merged[key] = _merge_one(known, given, here, overlay, findings)
+        if isinstance(known, dict) and isinstance(override, dict):
+            merged[key] = _merge_mappings(
+                known, override, key_path, overlay, findings
+            )
             continue
-        if known == given:
-            wrong = 'says what an earlier file says already'
-            findings.add(overlay.place(here), wrong, 'remove it here')
-        merged[key] = given
+        if known == override:
+            problem = 'same value as in an earlier file'
+            findings.add(overlay.place(key_path), problem, 'remove it here')
+        merged[key] = override
     return merged
 
 
-def _remove(
+def _remove_key(
     merged: dict[str, Any],
     key: str,
     place: Place,
     findings: Findings,
 ) -> None:
     if key not in merged:
-        wrong = 'removes what no earlier file says'
-        findings.add(place, wrong, 'remove the line, or give it a value')
+        problem = 'removes a key that no earlier file has'
+        findings.add(place, problem, 'remove the line or set a value')
     merged.pop(key, None)
 
 
-def _locate(documents: Sequence[Document], path: KeyPath) -> Place:
-    """Return the place in the document that says most about the path."""
+def _find_place(documents: Sequence[Document], path: KeyPath) -> Place:
+    """Return the place in the document with the longest matching path.
+
+    Later documents take precedence.
+    """
     for length in range(len(path), -1, -1):
         for document in reversed(documents):
             if path[:length] in document.lines:
--- a/siskinbank/config/sections.py
+++ b/siskinbank/config/sections.py
@@ -1,4 +1,4 @@
-"""Split an effective document into published sections, and join them again."""
+"""Split an effective document into published sections and join them."""
 
 import json
 from dataclasses import dataclass
@@ -8,7 +8,7 @@
 from siskinbank.config.documents import KeyPath, dotted
 from siskinbank.config.models import DocumentModel, ServiceModel
 from siskinbank.config.site import (
-    Cold,
+    ColdLimits,
     DataCentre,
     Endpoint,
     Host,
@@ -27,63 +27,65 @@
     'split_sections',
 )
 
-#: Orders documents: the generation, then the digest over the manifest.
+#: Sort key of documents: the generation, then the digest of the manifest.
 DocumentKey = tuple[int, bytes]
 
-_SITE = 'site'
-_SERVICE = 'service/'
+_SITE_SECTION = 'site'
+_SERVICE_PREFIX = 'service/'
 DIGEST_DIGITS = 32
 
 
 @dataclass(frozen=True, slots=True)
 class Manifest:
-    """A generation number and the digest of each section."""
+    """The generation of a document and the digests of its sections."""
 
     generation: int
     sections: dict[str, str]
 
     @property
     def digest(self) -> str:
-        """The digest over the whole manifest."""
+        """The digest of the manifest."""
         return hex_digest(self.raw)
 
     @property
     def raw(self) -> bytes:
-        """The one byte form of the manifest."""
+        """The canonical encoding of the manifest."""
         return canonical_json([self.generation, self.sections])
 
     @property
     def key(self) -> DocumentKey:
-        """What decides between two documents: the higher one wins."""
+        """The sort key of the document; the highest one is in force."""
         return self.generation, bytes.fromhex(self.digest)
 
 
 def parse_manifest(raw: bytes) -> Manifest:
-    """Read the byte form of a manifest.
+    """Parse an encoded manifest.
 
     Raises:
-        ValueError: the bytes are no manifest.
+        ValueError: the bytes are not a manifest.
     """
     parsed = json.loads(raw)
     if not isinstance(parsed, list) or len(parsed) != 2:
-        raise ValueError('not a manifest')
+        raise ValueError('manifest is not a list of two elements')
     generation, sections = parsed
     if not isinstance(generation, int) or not isinstance(sections, dict):
-        raise ValueError('not a manifest')
+        raise ValueError(
+            'manifest has a generation or sections of a wrong type'
+        )
     for digest in sections.values():
         if not isinstance(digest, str) or len(digest) != DIGEST_DIGITS:
-            raise ValueError('not a manifest')
+            raise ValueError('manifest has a malformed section digest')
         bytes.fromhex(digest)
     return Manifest(generation, sections)
 
 
 def split_sections(model: DocumentModel) -> dict[str, bytes]:
-    """Return the published sections: ``site``, and one for each service."""
-    whole = model.model_dump(mode='json')
-    services = whole.pop('services')
-    sections = {_SITE: canonical_json(whole)}
+    """Return the published sections: ``site`` and one for each service."""
+    document = model.model_dump(mode='json')
+    services = document.pop('services')
+    sections = {_SITE_SECTION: canonical_json(document)}
     for name, service in services.items():
-        sections[f'{_SERVICE}{name}'] = canonical_json(service)
+        sections[f'{_SERVICE_PREFIX}{name}'] = canonical_json(service)
     return sections
 
 
@@ -92,38 +94,40 @@
     sections: dict[str, Any],
     findings: Findings,
 ) -> Site | None:
-    """Make the site from published sections.
+    """Create the site from published sections.
 
     Args:
-        manifest: the generation and digests that the sections belong to.
+        manifest: the manifest of the sections.
         sections: the parsed sections by name.
-        findings: takes what is wrong.
+        findings: collects the problems.
 
     Returns:
         The site, or None when findings were added.
     """
     source = f'generation-{manifest.generation}'
-    head = sections.get(_SITE)
-    if not isinstance(head, dict):
-        findings.add(Place(source, 1, _SITE), 'missing', 'publish it')
+    site_section = sections.get(_SITE_SECTION)
+    if not isinstance(site_section, dict):
+        findings.add(Place(source, 1, _SITE_SECTION), 'missing', 'publish it')
         return None
     services = {
-        name.removeprefix(_SERVICE): section
+        name.removeprefix(_SERVICE_PREFIX): section
         for name, section in sections.items()
-        if name.startswith(_SERVICE)
+        if name.startswith(_SERVICE_PREFIX)
     }
 
     def locate(path: KeyPath) -> Place:
         return Place(source, 1, dotted(path))
 
-    model = check_content({**head, 'services': services}, locate, findings)
+    model = check_content(
+        {**site_section, 'services': services}, locate, findings
+    )
     if model is None:
         return None
     return make_site(model, manifest)
 
 
 def make_site(model: DocumentModel, manifest: Manifest) -> Site:
-    """Return the frozen form of a checked document."""
+    """Create the site from a validated document."""
     centres = {
         name: DataCentre(name, centre.region, centre.state)
         for name, centre in model.data_centres.items()
@@ -156,7 +160,7 @@
         )
         for host_name, host in model.hosts.items()
     )
-    cold = Cold(
+    cold = ColdLimits(
         model.cold.connections,
         model.cold.slots,
         model.cold.warm_up_seconds,
--- a/siskinbank/config/site.py
+++ b/siskinbank/config/site.py
@@ -1,4 +1,4 @@
-"""The configuration in force, as frozen data classes."""
+"""Immutable data classes for the configuration in force."""
 
 import enum
 import functools
@@ -9,7 +9,7 @@
 __all__ = (
     'Address',
     'CentreState',
-    'Cold',
+    'ColdLimits',
     'DataCentre',
     'Endpoint',
     'Host',
@@ -18,21 +18,21 @@
     'Site',
 )
 
-#: An IP number and a port.
+#: An IP address and a port.
 Address = tuple[str, int]
 
 
 class HostState(enum.StrEnum):
-    """Whether a host takes new work."""
+    """The service state of a host; only active hosts get new work."""
 
     active = 'active'
     draining = 'draining'
 
 
 class CentreState(enum.StrEnum):
-    """Whether a data centre is in service."""
+    """The service state of a data centre."""
 
-    inside = 'in'
+    in_service = 'in'
     out = 'out'
 
 
@@ -42,12 +42,12 @@
 
     name: str
     region: str
-    state: CentreState = CentreState.inside
+    state: CentreState = CentreState.in_service
 
 
 @dataclass(frozen=True, slots=True)
 class Host:
-    """One upstream and the sidecar beside it."""
+    """An upstream and its sidecar."""
 
     name: str
     data_centre: str
@@ -63,7 +63,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """Where callers reach a service through one ingress."""
+    """The address of a service at one ingress."""
 
     ingress: str
     address: str
@@ -71,8 +71,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Cold:
-    """What a host bears right after it started."""
+class ColdLimits:
+    """The limits of a host right after its start, and its warm-up time."""
 
     connections: int
     slots: int
@@ -81,24 +81,24 @@
 
 @dataclass(frozen=True, slots=True)
 class Service:
-    """A service and the pool behind it."""
+    """A service and its pool of hosts."""
 
     name: str
     endpoints: tuple[Endpoint, ...]
     connections: int
     slots: int
-    cold: Cold
+    cold: ColdLimits
     hosts: tuple[Host, ...]
 
     @property
     def ident(self) -> int:
-        """The 64-bit number that packets carry for the service."""
+        """The 64-bit number that identifies the service in packets."""
         return digest64(self.name)
 
 
 @dataclass(frozen=True)
 class Site:
-    """All that is in force at one generation."""
+    """The configuration of a site at one generation."""
 
     name: str
     generation: int
@@ -108,20 +108,20 @@
 
     @functools.cached_property
     def by_ident(self) -> dict[int, Service]:
-        """The services by the number that packets carry."""
+        """The services by their number in packets."""
         return {service.ident: service for service in self.services.values()}
 
     def is_out(self, host: Host) -> bool:
-        """Whether the host's data centre is out of service."""
+        """Return whether the host's data centre is out of service."""
         centre = self.data_centres[host.data_centre]
         return centre.state is CentreState.out
 
     def takes_work(self, host: Host) -> bool:
-        """Whether the host may get new work."""
+        """Return whether the host may receive new work."""
         return host.state is HostState.active and not self.is_out(host)
 
     def find_host(self, name: str) -> tuple[Service, Host] | None:
-        """Return a host and its service by the host's name."""
+        """Return the host with this name and its service, or None."""
         for service in self.services.values():
             for host in service.hosts:
                 if host.name == name:
--- a/siskinbank/kernel/__init__.py
+++ b/siskinbank/kernel/__init__.py
@@ -1,1 +1,1 @@
-"""The kernel: what every program and plug-in builds on."""
+"""Core services that all processes and plug-ins share."""
--- a/siskinbank/kernel/clock.py
+++ b/siskinbank/kernel/clock.py
@@ -1,24 +1,24 @@
-"""Clocks that go on counting while the machine is suspended."""
+"""Monotonic clocks that include time spent in suspension."""
 
 import time
 from collections.abc import Callable
 
 __all__ = ('Clock', 'FakeClock', 'boot_seconds')
 
-#: Returns seconds since a fixed moment; never goes back.
+#: Returns monotonic seconds since a fixed point in time.
 Clock = Callable[[], float]
 
 
 def boot_seconds() -> float:
-    """Return the seconds since boot, suspension included."""
+    """Return the seconds since boot, including suspension."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 class FakeClock:
-    """A clock that tests and experiments move by hand."""
+    """A clock that tests and experiments advance manually."""
 
     def __init__(self, now: float = 0) -> None:
-        """Start at ``now`` seconds."""
+        """Initialize the clock to ``now`` seconds."""
         self.now = now
 
     def __call__(self) -> float:
@@ -26,11 +26,11 @@
         return self.now
 
     def advance(self, seconds: float) -> None:
-        """Move the time forward.
+        """Advance the clock by ``seconds``.
 
         Raises:
             ValueError: ``seconds`` is negative.
         """
         if seconds < 0:
-            raise ValueError('a clock does not go back')
+            raise ValueError('seconds must not be negative')
         self.now += seconds
--- a/siskinbank/kernel/events.py
+++ b/siskinbank/kernel/events.py
@@ -1,4 +1,4 @@
-"""The catalogue of numbered log events, and how they are written."""
+"""Catalogue of numbered log events, and the event log."""
 
 import json
 import sys
@@ -18,7 +18,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Event:
-    """One kind of log line, with what it means for an operator."""
+    """A type of log event.
+
+    Attributes:
+        number: the stable number of the event, shown as ``E<number>``.
+        level: the name of a logbook level.
+        text: the message of the log line.
+        meaning: the explanation for operators on docs/EVENTS.md.
+    """
 
     number: int
     level: str
@@ -34,134 +41,138 @@
 def _define(number: int, level: str, text: str, meaning: str) -> Event:
     event = Event(number, level, text, meaning)
     if _defined.setdefault(number, event) is not event:
-        raise ValueError(f'two events with number {number}')
+        raise ValueError(f'event number {number} is already defined')
     return event
 
 
-STARTED = _define(100, 'INFO', 'started', 'The process serves.')
+STARTED = _define(100, 'INFO', 'started', 'The process is serving.')
 STOPPING = _define(
     101,
     'INFO',
     'stopping',
-    'A planned stop began: no new work is taken, open work is finished.',
+    'A planned stop began: new work is refused, open work is finished.',
+)
+STOPPED = _define(
+    102, 'INFO', 'stopped', 'The process exits; no open work was interrupted.'
 )
-STOPPED = _define(102, 'INFO', 'stopped', 'The process ends; nothing was cut.')
-CUT = _define(
+STOPPED_IMMEDIATELY = _define(
     103,
     _WARNING,
-    'stopped at once',
-    'A second signal ended the process; the fields say what was cut.',
+    'stopped immediately',
+    'A second signal ended the process; the fields count the interrupted work.',
 )
 ADOPTED = _define(
     200,
     'INFO',
     'configuration in force',
-    'The process follows this generation from now on.',
+    'The process now uses this generation.',
 )
 REFUSED = _define(
     201,
     'ERROR',
     'configuration refused',
-    'A published generation is invalid; the last good one stays in force.',
+    'A published generation is invalid; the last valid one stays in force.',
 )
 OLDER = _define(
     202,
     _WARNING,
     'older configuration ignored',
-    'Someone offered a generation lower than the one in force.',
+    'A generation lower than the one in force was offered.',
 )
 PLATFORM_LOST = _define(
     210,
     _WARNING,
     'platform unreachable',
-    'The configuration service does not answer; all goes on as it is.',
+    'The configuration service does not answer; the configuration in force '
+    'stays in use.',
 )
 CONFLICT = _define(
     203,
     'ERROR',
-    'two documents with one generation',
-    'The platform published two documents under one number; the one with the '
-    'higher digest is in force everywhere. Publish a higher generation.',
+    'two documents with the same generation',
+    'The platform published two documents with the same generation; every '
+    'process uses the one with the higher digest. Publish a higher generation.',
 )
 READING = _define(
     211,
     'INFO',
     'reading the platform',
-    'By its rank this process reads the platform for its data centre.',
+    'By rank this process is a reader of the platform for its data centre.',
 )
 LIST_HELD = _define(
     220,
     _WARNING,
-    'live list omits much of the fleet',
-    'The list is believed only if it says the same for a while.',
+    'live list omits many known instances',
+    'The list is used only after it has stayed the same for a while.',
 )
 ISOLATED = _define(
     221,
     _WARNING,
     'no peer answers',
-    'The process goes on with what it has until a peer answers.',
+    'The process continues with its current state until a peer answers.',
 )
 HEARD = _define(
     222,
     'INFO',
     'peers answer again',
-    'The process knows again what the fleet has in force.',
+    'The process has current information about the fleet again.',
 )
 UNKEYED = _define(
     240,
     _WARNING,
     'no valid key: refused',
-    'Something without a valid key sent datagrams or opened a stream. Nothing '
-    'of it was taken. Written at most once a minute; the counters '
-    '`unkeyed` and `unkeyed-stream` have them all.',
+    'A sender without a valid key sent datagrams or opened a stream; all of '
+    'it was discarded. Written at most once a minute; the counters '
+    '`unkeyed` and `unkeyed-stream` count every occurrence.',
 )
 KEYS_READ = _define(
     241,
     'INFO',
-    'keys read again',
-    'The file of keys has changed; the fields tell which keys are valid now.',
+    'keys reloaded',
+    'The key file has changed; the fields list the keys that are now valid.',
 )
 KEYS_BAD = _define(
     242,
     'ERROR',
     'keys cannot be read',
-    'The file of keys is missing or malformed; the keys before stay valid.',
+    'The key file is missing or malformed; the previous keys stay valid.',
 )
-HOST_GONE = _define(
+HOST_UNREACHABLE = _define(
     300,
     _WARNING,
     'host unreachable',
-    'A host did not answer; its flows are given up when its lease ends.',
+    'A host did not answer; its flows are abandoned when its lease ends.',
 )
 UPSTREAM_COLD = _define(
     400,
     _WARNING,
     'upstream turned cold',
-    'Its limits start again from cold; open flows are let back in as it warms.',
+    'Its limits are reset to the cold limits; open flows are readmitted as it '
+    'warms up.',
 )
 UPSTREAM_UNREACHABLE = _define(
     401,
     'ERROR',
     'upstream unreachable',
-    'It refuses or resets connections; it gets no work until it answers.',
+    'It refuses or resets connections; no work is sent to it until it answers.',
 )
 UPSTREAM_BACK = _define(
     402,
     'INFO',
     'upstream answers again',
-    'It counts as cold and gets work as it warms up.',
+    'It is treated as cold and receives work as it warms up.',
 )
 REPORT_DISTRUSTED = _define(
     403,
     _WARNING,
-    'upstream report passed over',
-    'Its health endpoint claims trouble that its answers do not bear out.',
+    'upstream report ignored',
+    'Its health endpoint reports a problem that its answers do not confirm.',
 )
 HANDLER_FAILED = _define(
     900,
     'ERROR',
     'handler failed',
-    'A fault in the program; the connection it served was closed.',
+    'Unexpected exception; the connection being served was closed.',
 )
 
 CATALOGUE: tuple[Event, ...] = tuple(
@@ -170,14 +181,14 @@
 
 
 class EventLog:
-    """Writes events for one process."""
+    """The event log of one process."""
 
     def __init__(self, role: str, name: str) -> None:
-        """Write under the process's role and name."""
+        """Create the log of the process with this role and name."""
         self._logger = logbook.Logger(f'{role} {name}')
 
     def write(self, event: Event, **fields: object) -> None:
-        """Write one event with its fields."""
+        """Write an event with its fields."""
         self._logger.log(
             logbook.lookup_level(event.level),
             event.text,
@@ -185,34 +196,34 @@
         )
 
     def write_failure(self, error: Exception, **fields: object) -> None:
-        """Write that a part could not start or go on."""
+        """Write that a component could not start or failed."""
         self.write(HANDLER_FAILED, error=repr(error), **fields)
 
 
 def set_up_logging(
     level: str,
-    form: str,
+    line_format: str,
     stream: TextIO | None = None,
 ) -> None:
-    """Write events of ``level`` and above to ``stream``.
+    """Log events of ``level`` and above to ``stream``.
 
     Args:
         level: a logbook level name, such as ``INFO``.
-        form: ``text`` or ``json``.
-        stream: where to write; standard error if None.
+        line_format: ``text`` or ``json``.
+        stream: the output stream; standard error if None.
     """
     handler = logbook.StreamHandler(stream or sys.stderr, level=level)
-    handler.formatter = _json_line if form == 'json' else _text_line
+    handler.formatter = _json_line if line_format == 'json' else _text_line
     handler.push_application()
 
 
 def _text_line(record: logbook.LogRecord, _handler: logbook.Handler) -> str:
     fields = record.extra.get('fields') or {}
-    pairs = ' '.join(f'{name}={given}' for name, given in fields.items())
+    pairs = ' '.join(f'{name}={value}' for name, value in fields.items())
     number = record.extra.get('number', 0)
-    stamp = record.time.isoformat(timespec='milliseconds')
-    head = f'{stamp} {record.level_name} E{number} [{record.channel}]'
-    return f'{head} {record.message} {pairs}'.rstrip()
+    timestamp = record.time.isoformat(timespec='milliseconds')
+    prefix = f'{timestamp} {record.level_name} E{number} [{record.channel}]'
+    return f'{prefix} {record.message} {pairs}'.rstrip()
 
 
 def _json_line(record: logbook.LogRecord, _handler: logbook.Handler) -> str:
@@ -228,13 +239,13 @@
 
 
 def catalogue_page() -> str:
-    """Return the page docs/EVENTS.md."""
+    """Return the content of docs/EVENTS.md."""
     lines = [
         '# Events',
         '',
-        'Made from `siskinbank/kernel/events.py` by `make events`.',
+        'Generated from `siskinbank/kernel/events.py` by `make events`.',
         '',
-        '| number | level | text | what it means |',
+        '| number | level | text | meaning |',
         '|---|---|---|---|',
     ]
     lines.extend(
--- a/siskinbank/kernel/findings.py
+++ b/siskinbank/kernel/findings.py
@@ -1,4 +1,4 @@
-"""Findings: what is wrong in operators' input, each with its place."""
+"""Findings: problems in operators' input, each with its location."""
 
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass, field
@@ -8,7 +8,13 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class Place:
-    """Where something was written."""
+    """A location in a configuration file.
+
+    Attributes:
+        file: the name of the file.
+        line: the line, counted from 1.
+        path: the dotted path of the value in the document.
+    """
 
     file: str
     line: int = 1
@@ -22,35 +28,35 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class Finding:
-    """One thing that is wrong, and what would be right."""
+    """A problem in a document, and how to correct it."""
 
     place: Place
-    wrong: str
-    right: str
+    problem: str
+    correction: str
 
     def __str__(self) -> str:
-        """Return ``FILE:LINE: path: what is wrong; what would be right``."""
-        return f'{self.place}: {self.wrong}; {self.right}'
+        """Return ``FILE:LINE: path: problem; correction``."""
+        return f'{self.place}: {self.problem}; {self.correction}'
 
 
 @dataclass(slots=True)
 class Findings:
-    """A list that collects findings, so that all are reported together."""
+    """A collection of findings, so that all are reported together."""
 
     _found: list[Finding] = field(default_factory=list)
 
     def __iter__(self) -> Iterator[Finding]:
-        """Go through the findings by place."""
+        """Iterate over the distinct findings, sorted by place."""
         return iter(sorted(set(self._found)))
 
     def __len__(self) -> int:
-        """Return the number of different findings."""
+        """Return the number of distinct findings."""
         return len(set(self._found))
 
-    def add(self, place: Place, wrong: str, right: str) -> None:
-        """Note one finding."""
-        self._found.append(Finding(place, wrong, right))
+    def add(self, place: Place, problem: str, correction: str) -> None:
+        """Add a finding."""
+        self._found.append(Finding(place, problem, correction))
 
     def extend(self, others: Iterable[Finding]) -> None:
-        """Take over findings from elsewhere."""
+        """Add all findings of an iterable."""
         self._found.extend(others)
--- a/siskinbank/kernel/incarnation.py
+++ b/siskinbank/kernel/incarnation.py
@@ -1,4 +1,4 @@
-"""Numbers that tell one life of a host from its earlier and later ones."""
+"""Incarnation numbers, which identify one run of a host's process."""
 
 import secrets
 
@@ -6,15 +6,19 @@
 
 __all__ = ('make_incarnation', 'same_host')
 
-_LIFE_BITS = 32
+_RANDOM_BITS = 32
 
 
 def make_incarnation(host: str) -> int:
-    """Return a 64-bit number: the host's name above, a random life below."""
-    life = secrets.randbits(_LIFE_BITS)
-    return digest64(host) >> _LIFE_BITS << _LIFE_BITS | life
+    """Return a 64-bit number for a new incarnation of a host.
+
+    The upper 32 bits are derived from the host's name, the lower 32 bits are
+    random.
+    """
+    random_part = secrets.randbits(_RANDOM_BITS)
+    return digest64(host) >> _RANDOM_BITS << _RANDOM_BITS | random_part
 
 
 def same_host(one: int, other: int) -> bool:
-    """Whether two incarnations are of one host."""
-    return one >> _LIFE_BITS == other >> _LIFE_BITS
+    """Return whether two incarnations belong to the same host."""
+    return one >> _RANDOM_BITS == other >> _RANDOM_BITS
--- a/siskinbank/kernel/metrics.py
+++ b/siskinbank/kernel/metrics.py
@@ -1,4 +1,4 @@
-"""Counters for each reason and histograms of times, for one process."""
+"""Counters by reason, gauges and duration histograms of one process."""
 
 import enum
 from collections import Counter
@@ -20,16 +20,16 @@
 
 _PREFIX = 'siskinbank'
 _MAX_MICROSECONDS = 600_000_000
-_DIGITS = 2
+_SIGNIFICANT_DIGITS = 2
 _PERCENTILES = (50, 90, 99)
-_MICROSECONDS = 1_000_000
+_MICROSECONDS_PER_SECOND = 1_000_000
 
 
 class Metrics(Collector):
-    """All that one process counts and times."""
+    """Collects the metrics of one process."""
 
     def __init__(self) -> None:
-        """Start with every count at zero."""
+        """Create an empty collection of metrics."""
         self._counts: Counter[tuple[str, str]] = Counter()
         self._gauges: dict[str, float] = {}
         self._times: dict[str, HdrHistogram] = {}
@@ -37,7 +37,7 @@
 
     @property
     def counts(self) -> dict[str, dict[str, int]]:
-        """The counters: family, then reason, to count."""
+        """The counts by family and reason."""
         families: dict[str, dict[str, int]] = {}
         for (family, reason), count in sorted(self._counts.items()):
             families.setdefault(family, {})[reason] = count
@@ -49,48 +49,48 @@
 
     @property
     def times(self) -> dict[str, dict[str, float]]:
-        """The durations: name, then quantile, to seconds."""
+        """The durations in seconds by name and quantile."""
         return {
             name: _quantiles(histogram)
             for name, histogram in sorted(self._times.items())
         }
 
     def count(self, reason: enum.StrEnum, amount: int = 1) -> None:
-        """Count one event of ``reason``; its class names the family."""
+        """Add to the counter of ``reason``, in the family of its class."""
         family = type(reason).__name__.lower()
         self._counts[family, reason.value] += amount
 
     def tally(self, family: str, amount: int = 1) -> None:
-        """Count events that have no reasons, such as packets passed."""
+        """Add to a counter without reasons, such as forwarded packets."""
         self._counts[family, ''] += amount
 
     def cell(self, family: str) -> list[int]:
-        """Return a list of one number that a hot path adds to by itself."""
+        """Return a one-element list that a hot path increments directly."""
         return self._cells.setdefault(family, [0])
 
     def value(self, reason: enum.StrEnum) -> int:
-        """Return the count of one reason."""
+        """Return the count of a reason."""
         return self._counts[type(reason).__name__.lower(), reason.value]
 
     def total(self, family: str) -> int:
-        """Return the count of all reasons in a family."""
+        """Return the sum over all reasons of a family."""
         return sum(self.counts.get(family, {}).values())
 
     def gauge(self, name: str, amount: float) -> None:
-        """Set a figure that goes up and down."""
+        """Set a gauge."""
         self._gauges[name] = amount
 
     def time(self, name: str, seconds: float) -> None:
-        """Record one duration."""
+        """Record a duration."""
         histogram = self._times.get(name)
         if histogram is None:
-            histogram = HdrHistogram(1, _MAX_MICROSECONDS, _DIGITS)
+            histogram = HdrHistogram(1, _MAX_MICROSECONDS, _SIGNIFICANT_DIGITS)
             self._times[name] = histogram
-        microseconds = max(int(seconds * _MICROSECONDS), 1)
+        microseconds = max(int(seconds * _MICROSECONDS_PER_SECOND), 1)
         histogram.record_value(min(microseconds, _MAX_MICROSECONDS))
 
     def collect(self) -> Iterator[Metric]:
-        """Yield every family for the exposition format."""
+        """Yield all metric families, for prometheus_client."""
         for family, reasons in self._all_counts().items():
             counter = CounterMetricFamily(
                 f'{_PREFIX}_{family}',
@@ -110,13 +110,13 @@
             yield self._summary(name, histogram)
 
     def exposition(self) -> bytes:
-        """Return all metrics in the text exposition format."""
+        """Return all metrics in the Prometheus text format."""
         registry = CollectorRegistry()
         registry.register(self)
         return generate_latest(registry)
 
     def _all_counts(self) -> dict[str, dict[str, int]]:
-        """Return the counters, those that are still zero included."""
+        """Return all counters, including those that are zero."""
         families: dict[str, dict[str, int]] = {
             kind.__name__.lower(): {reason.value: 0 for reason in kind}
             for kind in (Drop, Refusal, Retry)
@@ -127,7 +127,7 @@
 
     def _summary(self, name: str, histogram: HdrHistogram) -> Metric:
         count = histogram.get_total_count()
-        mean = histogram.get_mean_value() / _MICROSECONDS
+        mean = histogram.get_mean_value() / _MICROSECONDS_PER_SECOND
         summary = SummaryMetricFamily(
             f'{_PREFIX}_{name}_seconds',
             f'Time of {name}.',
@@ -146,7 +146,8 @@
 def _quantiles(histogram: HdrHistogram) -> dict[str, float]:
     return {
         str(percentile / 100): (
-            histogram.get_value_at_percentile(percentile) / _MICROSECONDS
+            histogram.get_value_at_percentile(percentile)
+            / _MICROSECONDS_PER_SECOND
         )
         for percentile in _PERCENTILES
     }
--- a/siskinbank/kernel/outcomes.py
+++ b/siskinbank/kernel/outcomes.py
@@ -1,4 +1,4 @@
-"""Tagged outcomes of a request."""
+"""The possible outcomes of a request."""
 
 from dataclasses import dataclass
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Answered:
-    """The upstream answered, and the answer is whole."""
+    """The upstream answered, and the answer is complete."""
 
     status: int
     tag: str = 'answered'
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NotRun:
-    """No upstream has run the request, and no copy of it will run."""
+    """No upstream has run the request, and no copy of it will be run."""
 
     reason: Refusal
     retry_after: float | None = None
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Unknown:
-    """The request may have run; nobody can say."""
+    """The outcome is unknown: the request may have run or not."""
 
     reason: Doubt
     retry_after: float | None = None
--- a/siskinbank/kernel/process.py
+++ b/siskinbank/kernel/process.py
@@ -1,4 +1,4 @@
-"""What every process of the system shares while it runs."""
+"""The runtime context and main loop of every process."""
 
 import asyncio
 import signal
@@ -14,7 +14,7 @@
 
 __all__ = ('ProcessContext', 'run_process')
 
-_EXIT_CUT = 3
+_EXIT_STOPPED_IMMEDIATELY = 3
 
 
 class ProcessContext:
@@ -26,7 +26,7 @@
         name: str,
         timers: TimerService | None = None,
     ) -> None:
-        """Prepare a process that is not yet running."""
+        """Initialize the context of a process that is not yet running."""
         self.role = role
         self.name = name
         self.timers = timers or TimerService()
@@ -34,39 +34,39 @@
         self.log = events.EventLog(role, name)
         self.stopping = asyncio.Event()
         self._tasks: set[asyncio.Task[None]] = set()
-        self._drains: list[Callable[[], Awaitable[None]]] = []
-        self._closers: list[Callable[[], Awaitable[None]]] = []
+        self._drain_callbacks: list[Callable[[], Awaitable[None]]] = []
+        self._close_callbacks: list[Callable[[], Awaitable[None]]] = []
         self.shared: dict[str, Any] = {}
-        #: Tells for each kind of open work how much there is.
+        #: Returns the amount of open work, for each kind of work.
         self.open_work: dict[str, Callable[[], int]] = {}
 
     def start_task(self, work: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
-        """Run ``work`` in a task that is cancelled when the process ends."""
+        """Run a coroutine as a background task, cancelled on close."""
         task = asyncio.create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._finish_task)
         return task
 
     def on_drain(self, drain: Callable[[], Awaitable[None]]) -> None:
-        """Await ``drain`` in a planned stop, before the process ends."""
-        self._drains.append(drain)
+        """Register ``drain`` to be awaited during a planned stop."""
+        self._drain_callbacks.append(drain)
 
     def on_close(self, close: Callable[[], Awaitable[None]]) -> None:
-        """Await ``close`` when the process ends, however it ends."""
-        self._closers.append(close)
+        """Register ``close`` to be awaited whenever the process ends."""
+        self._close_callbacks.append(close)
 
     async def drain(self) -> None:
-        """Finish open work; later parts first."""
-        for drain in reversed(self._drains):
+        """Finish open work, in reverse order of registration."""
+        for drain in reversed(self._drain_callbacks):
             await drain()
 
     async def close(self) -> None:
-        """Cancel the background tasks and wait for their end."""
+        """Cancel the background tasks and run the close callbacks."""
         tasks = list(self._tasks)
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
-        for close in reversed(self._closers):
+        for close in reversed(self._close_callbacks):
             await close()
 
     def _finish_task(self, task: asyncio.Task[None]) -> None:
@@ -83,10 +83,10 @@
     name: str,
     start: Callable[[ProcessContext], Awaitable[None]],
 ) -> int:
-    """Run a process until it is told to stop; return its exit code.
+    """Run a process until it is stopped; return its exit code.
 
     The first SIGTERM or SIGINT starts a planned stop; the second one ends the
-    process at once.
+    process immediately.
 
     Raises:
         OSError: an address could not be bound.
@@ -114,8 +114,8 @@
         context.stopping.set()
 
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stop)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop)
     context.start_task(context.timers.run())
     try:
         await start(context)
@@ -127,16 +127,18 @@
         await context.close()
 
 
-async def _stop(context: ProcessContext, at_once: asyncio.Event) -> int:
+async def _stop(context: ProcessContext, stopped_at_once: asyncio.Event) -> int:
     drain = asyncio.create_task(context.drain())
-    second = asyncio.create_task(at_once.wait())
-    await asyncio.wait((drain, second), return_when=asyncio.FIRST_COMPLETED)
-    second.cancel()
+    second_signal = asyncio.create_task(stopped_at_once.wait())
+    await asyncio.wait(
+        (drain, second_signal), return_when=asyncio.FIRST_COMPLETED
+    )
+    second_signal.cancel()
     if drain.done():
         drain.result()
         context.log.write(events.STOPPED)
         return 0
     drain.cancel()
     cut = {name: count() for name, count in context.open_work.items()}
-    context.log.write(events.CUT, cut=cut)
-    return _EXIT_CUT
+    context.log.write(events.STOPPED_IMMEDIATELY, cut=cut)
+    return _EXIT_STOPPED_IMMEDIATELY
--- a/siskinbank/kernel/reasons.py
+++ b/siskinbank/kernel/reasons.py
@@ -1,4 +1,4 @@
-"""The reasons for which work is refused, tried again or dropped."""
+"""Reasons for refused, retried, dropped and abandoned work."""
 
 import enum
 
@@ -6,7 +6,7 @@
 
 
 class Refusal(enum.StrEnum):
-    """Why new work was not run; the caller is told so."""
+    """Why new work was refused; reported to the caller."""
 
     no_host = 'no-host'
     at_limit = 'at-limit'
@@ -24,7 +24,7 @@
 
 
 class Doubt(enum.StrEnum):
-    """Why it cannot be said whether a request ran; the caller is told so."""
+    """Why the outcome of a request is unknown; reported to the caller."""
 
     lost = 'link-lost'
     expired = 'deadline-passed'
@@ -40,7 +40,7 @@
 
 
 class Retry(enum.StrEnum):
-    """Why work was offered to another host."""
+    """Why work was retried at another host."""
 
     not_run = 'not-run'
     unreachable = 'unreachable'
@@ -77,7 +77,7 @@
 
 
 class GivenUp(enum.StrEnum):
-    """Why an owned flow was given up."""
+    """Why an owned flow was abandoned."""
 
     centre_out = 'data-centre-out'
     removed = 'host-removed'
@@ -86,7 +86,7 @@
 
 
 class Ignored(enum.StrEnum):
-    """Why something that was offered as configuration was not put in force."""
+    """Why an offered configuration or list was not put in force."""
 
     older = 'older'
     conflict = 'same-generation'
--- a/siskinbank/kernel/registry.py
+++ b/siskinbank/kernel/registry.py
@@ -1,4 +1,4 @@
-"""Look plug-ins up by name or alias, loading their modules on first use."""
+"""Plug-in registries that load modules on first use."""
 
 import pkgutil
 from collections.abc import Sequence
@@ -10,42 +10,42 @@
 
 
 class Plugin(Protocol):
-    """What every plug-in says of itself."""
+    """The attributes that every plug-in has."""
 
     @property
     def name(self) -> str:
-        """The name that configuration and command line use."""
+        """The name used in configuration and on the command line."""
 
     @property
     def aliases(self) -> Sequence[str]:
-        """Other names for the same plug-in."""
+        """Alternative names of the plug-in."""
 
     @property
     def summary(self) -> str:
-        """One line for the operator."""
+        """A one-line description for operators."""
 
 
 PluginT = TypeVar('PluginT', bound=Plugin)
 
 
 class PluginNotFoundError(LookupError):
-    """No plug-in has the name that was asked for."""
+    """No plug-in has the requested name."""
 
 
 class Registry(Generic[PluginT]):
     """The plug-ins of one role.
 
-    Modules of the role's package register what they define when they are
-    imported. Other distributions add plug-ins through the entry point group
+    The modules of the role's package register their plug-ins on import. Other
+    distributions provide plug-ins through the entry point group
     ``siskinbank.ROLE``.
     """
 
     def __init__(self, role: str, package: str) -> None:
-        """Make an empty registry.
+        """Create an empty registry.
 
         Args:
-            role: what the plug-ins are for, as named in messages.
-            package: the package whose modules hold the built-in plug-ins.
+            role: the role of the plug-ins, used in messages.
+            package: the package whose modules define the built-in plug-ins.
         """
         self._role = role
         self._package = package
@@ -54,26 +54,28 @@
 
     @property
     def group(self) -> str:
-        """The entry point group in which other distributions register."""
+        """The entry point group for plug-ins of other distributions."""
         return f'siskinbank.{self._role}'
 
     def register(self, plugin: PluginT) -> PluginT:
-        """Add a plug-in under its name and aliases.
+        """Register a plug-in under its name and aliases.
 
         Raises:
-            ValueError: another plug-in has one of the names already.
+            ValueError: another plug-in already uses one of the names.
         """
         for name in (plugin.name, *plugin.aliases):
             known = self._by_name.setdefault(name, plugin)
             if known is not plugin:
-                raise ValueError(f'two {self._role} plug-ins named {name!r}')
+                raise ValueError(
+                    f'duplicate {self._role} plug-in name {name!r}'
+                )
         return plugin
 
     def find(self, name: str) -> PluginT:
         """Return the plug-in with this name or alias.
 
         Raises:
-            PluginNotFoundError: there is none; the message lists the names.
+            PluginNotFoundError: there is none; the message lists all names.
         """
         if name not in self._by_name:
             self._load_module(name)
@@ -92,13 +94,13 @@
         return sorted({plugin.name for plugin in self._by_name.values()})
 
     def module_names(self) -> set[str]:
-        """Return the names that can be found, without loading anything.
+        """Return the names of all plug-ins without loading them.
 
-        A built-in plug-in has the name of its module, one of another
-        distribution that of its entry point.
+        A built-in plug-in has the name of its module, a plug-in of another
+        distribution the name of its entry point.
         """
-        outside = {point.name for point in entry_points(group=self.group)}
-        return outside | (set(self._module_names()) - {'registry'})
+        external = {point.name for point in entry_points(group=self.group)}
+        return external | (set(self._module_names()) - {'registry'})
 
     def _load_module(self, name: str) -> None:
         if name.isidentifier() and name in self._module_names():
--- a/siskinbank/kernel/suspension.py
+++ b/siskinbank/kernel/suspension.py
@@ -1,4 +1,4 @@
-"""Notice that the process was suspended, before it acts on old beliefs."""
+"""Detect that the process was suspended, before it uses outdated state."""
 
 from collections.abc import Callable
 
@@ -6,19 +6,19 @@
 
 __all__ = ('SuspensionGuard',)
 
-_BEAT_SECONDS = 0.5
-#: A process whose timers stood still for longer was suspended.
-_TOLERANCE_SECONDS = 3
-#: How long to wait for a fresh view after waking; the platform may be down.
-_WAIT_SECONDS = 2
+_CHECK_INTERVAL_SECONDS = 0.5
+#: A longer gap between two timer calls means that the process was suspended.
+_MAX_GAP_SECONDS = 3
+#: Longest wait for a fresh view after resuming; the platform may be down.
+_MAX_WAIT_SECONDS = 2
 
 
 class SuspensionGuard:
-    """Says until when the process may act without looking again.
+    """Detects suspension and blocks work until the view is fresh again.
 
-    A hot path compares its clock with ``until``. After a suspension the
-    moment stays in the past until the live list was read anew, or until the
-    process has waited for that long enough.
+    A hot path compares its clock with ``valid_until``. After a suspension
+    that time stays in the past until the live list has been read again, or
+    until the process has waited ``_MAX_WAIT_SECONDS`` for that.
     """
 
     def __init__(
@@ -27,39 +27,39 @@
         list_age: Callable[[], float | None],
         may_act: Callable[[], bool],
     ) -> None:
-        """Watch the timers.
+        """Start the periodic check.
 
         Args:
-            timers: call the guard while the process is awake.
-            list_age: tells the age of the live list in seconds.
-            may_act: whether the view is fit to act on.
+            timers: run the check while the process is not suspended.
+            list_age: returns the age of the live list in seconds, or None.
+            may_act: returns whether the process may act on its view.
         """
         self._timers = timers
         self._list_age = list_age
         self._may_act = may_act
-        self._woke: float | None = None
-        self.until = timers.now + _TOLERANCE_SECONDS
-        timers.every(_BEAT_SECONDS, self._beat)
+        self._resumed_at: float | None = None
+        self.until = timers.now + _MAX_GAP_SECONDS
+        timers.every(_CHECK_INTERVAL_SECONDS, self._check)
 
     @property
     def awake(self) -> bool:
-        """Whether the process may act now."""
+        """Whether the process may act now, without a known suspension."""
         return self._timers.now <= self.until
 
-    def _beat(self) -> None:
+    def _check(self) -> None:
         now = self._timers.now
         if not self._may_act():
             return
         if now > self.until and not self._is_fresh(now):
             return
-        self._woke = None
-        self.until = now + _TOLERANCE_SECONDS
+        self._resumed_at = None
+        self.until = now + _MAX_GAP_SECONDS
 
     def _is_fresh(self, now: float) -> bool:
-        """Whether the view was renewed since the process woke."""
-        if self._woke is None:
-            self._woke = now
+        """Return whether the view was renewed since the process resumed."""
+        if self._resumed_at is None:
+            self._resumed_at = now
             return False
         age = self._list_age()
-        waited = now - self._woke
-        return waited >= _WAIT_SECONDS or (age is not None and age < waited)
+        waited = now - self._resumed_at
+        return waited >= _MAX_WAIT_SECONDS or (age is not None and age < waited)
--- a/siskinbank/kernel/timers.py
+++ b/siskinbank/kernel/timers.py
@@ -1,4 +1,4 @@
-"""The timer service that all periodic and delayed work subscribes to."""
+"""The timer service for periodic and delayed callbacks."""
 
 import asyncio
 import heapq
@@ -10,12 +10,12 @@
 
 __all__ = ('Subscription', 'TimerService')
 
-#: The longest the service sleeps, so that a suspended machine catches up.
+#: Upper bound of a sleep, so that timers catch up soon after a suspension.
 _MAX_SLEEP_SECONDS = 0.25
 
 
 class Subscription:
-    """One callback's place in the timer service."""
+    """A callback registered with the timer service."""
 
     def __init__(
         self,
@@ -23,7 +23,7 @@
         interval: float | None,
         jitter: float,
     ) -> None:
-        """Describe a callback; ``interval`` is None for a single call."""
+        """Initialize a subscription; ``interval`` is None for one call."""
         self.callback = callback
         self.interval = interval
         self.jitter = jitter
@@ -31,20 +31,20 @@
 
     @property
     def cancelled(self) -> bool:
-        """Whether the callback will not be called again."""
+        """Whether the subscription was cancelled."""
         return self._cancelled
 
     def cancel(self) -> None:
-        """Stop calling; safe to call twice."""
+        """Cancel the subscription; may be called repeatedly."""
         self._cancelled = True
 
 
 class TimerService:
-    """Call subscribers when their time has come.
+    """Calls subscribers when they are due.
 
-    Time comes from a clock that is given, so that tests drive the service
-    with ``run_due``. A periodic subscriber that was late is called once, not
-    once for each period it missed.
+    The clock is a parameter, so that tests can drive the service with
+    ``run_due``. A late periodic subscriber is called once, not once for each
+    missed period.
     """
 
     def __init__(
@@ -52,7 +52,7 @@
         clock: Clock = boot_seconds,
         rng: random.Random | None = None,
     ) -> None:
-        """Make a service on ``clock``; ``rng`` draws the jitter."""
+        """Initialize the service; ``rng`` generates the jitter."""
         self._clock = clock
         self._rng = rng or random.Random()
         self._queue: list[tuple[float, int, Subscription]] = []
@@ -60,12 +60,12 @@
 
     @property
     def clock(self) -> Clock:
-        """The clock itself, for hot paths."""
+        """The clock function, for hot paths."""
         return self._clock
 
     @property
     def now(self) -> float:
-        """The clock's time in seconds."""
+        """The current time of the clock in seconds."""
         return self._clock()
 
     def every(
@@ -74,12 +74,12 @@
         callback: Callable[[], None],
         jitter: float = 0,
     ) -> Subscription:
-        """Call ``callback`` each ``interval`` seconds.
+        """Call ``callback`` every ``interval`` seconds.
 
         Args:
             interval: the period in seconds.
-            callback: what to call; it must not block.
-            jitter: the share of the interval by which each call may differ.
+            callback: the function to call; it must not block.
+            jitter: the largest deviation, as a fraction of the interval.
 
         Raises:
             ValueError: the interval is not positive.
@@ -95,13 +95,13 @@
         delay: float,
         callback: Callable[[], None],
     ) -> Subscription:
-        """Call ``callback`` once, ``delay`` seconds from now."""
+        """Call ``callback`` once after ``delay`` seconds."""
         subscription = Subscription(callback, None, 0)
         self._push(subscription, max(delay, 0))
         return subscription
 
     def run_due(self) -> float:
-        """Call all that is due; return the seconds until the next call."""
+        """Call all due callbacks; return the seconds until the next one."""
         now = self._clock()
         while self._queue and self._queue[0][0] <= now:
             subscription = heapq.heappop(self._queue)[2]
@@ -115,7 +115,7 @@
         return max(self._queue[0][0] - self._clock(), 0)
 
     async def run(self) -> None:
-        """Serve until cancelled."""
+        """Run the service until cancelled."""
         while True:
             due = self.run_due()
             await asyncio.sleep(min(due, _MAX_SLEEP_SECONDS))
--- a/siskinbank/node.py
+++ b/siskinbank/node.py
@@ -1,4 +1,4 @@
-"""The parts that entries and sidecars have in common."""
+"""The components that entries and sidecars have in common."""
 
 import random
 import time
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Node:
-    """A process with a view of the fleet and a socket to its peers."""
+    """The components of a process that takes part in the fleet."""
 
     process: ProcessContext
     settings: ProcessSettings
@@ -90,12 +90,12 @@
         gossip.seeds = (*settings.peers, *hosts)
         view.adopt(site)
 
-    def tell() -> None:
+    def update_view() -> None:
         view.take_beliefs(gossip.leaving, gossip.gone)
 
     gossip.seeds = settings.peers
     gossip.on_adopt = adopt
-    gossip.on_beliefs = tell
+    gossip.on_beliefs = update_view
     gossip.subscribe_to(peers.subscribe)
     view.follow_freshness(
         lambda: gossip.fresh,
--- a/siskinbank/settings.py
+++ b/siskinbank/settings.py
@@ -1,4 +1,4 @@
-"""Process settings, as given in flags and environment variables."""
+"""Process settings from command line options and the environment."""
 
 from dataclasses import dataclass, field
 
@@ -11,7 +11,17 @@
 
 @dataclass(frozen=True, slots=True)
 class ProcessSettings:
-    """What every process of the system is told at start."""
+    """Settings of every process.
+
+    Attributes:
+        name: the name of the instance.
+        data_centre: the data centre of the instance.
+        bind: the UDP and TCP address for other processes.
+        admin: the address of the status and metrics endpoint.
+        platform: the URL of the configuration service.
+        keys: the keys of the fleet.
+        peers: the peers that are contacted first.
+    """
 
     name: str
     data_centre: str
@@ -24,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EntrySettings(ProcessSettings):
-    """Settings of ``siskinbank entry``; ``fou`` is None to switch it off."""
+    """Settings of ``siskinbank entry``; ``fou`` is None to disable it."""
 
     fou: Address | None
     listen: str
--- a/siskinbank/status.py
+++ b/siskinbank/status.py
@@ -1,4 +1,4 @@
-"""The admin endpoint: what one process believes, and its metrics."""
+"""The admin endpoint: known state and metrics of one process."""
 
 from typing import Any
 
@@ -13,7 +13,7 @@
 
 __all__ = ('describe', 'start_admin')
 
-_SHOWN = 20
+_MAX_GONE_SHOWN = 20
 _EXPOSITION = 'text/plain; version=0.0.4; charset=utf-8'
 
 
@@ -47,14 +47,20 @@
         'isolated': gossip.freshness.isolated,
         'heard_age_seconds': gossip.freshness.age,
         'fleet_lowest_generation': min(
-            [view.generation, *(lag.generation for lag in laggards)],
+            [
+                view.generation,
+                *(lagging_process.generation for lagging_process in laggards),
+            ],
         ),
-        'lagging': {lag.name: lag.generation for lag in laggards},
+        'lagging': {
+            lagging_process.name: lagging_process.generation
+            for lagging_process in laggards
+        },
         'refused_generation': gossip.store.refused[0],
         'findings': gossip.store.findings,
         'instances': len(gossip.roster),
         'leaving': sorted(view.leaving),
-        'gone': sorted(view.gone)[:_SHOWN],
+        'gone': sorted(view.gone)[:_MAX_GONE_SHOWN],
         'gone_count': len(view.gone),
         'reads_platform': rank is not None and rank < READERS,
         'live_list_age_seconds': gossip.ages.read_age(
@@ -67,7 +73,7 @@
 
 
 async def start_admin(node: Any) -> None:
-    """Serve ``/status`` and ``/metrics``.
+    """Start the HTTP server for ``/status`` and ``/metrics``.
 
     Raises:
         OSError: the address could not be bound.
--- a/tests/__init__.py
+++ b/tests/__init__.py
@@ -1,7 +1,7 @@
-"""Tests, laid out like the packages they test."""
+"""Tests, structured like the packages under test."""
 
 from hypothesis import settings
 
-# The same cases each time, so that CI gives the same verdict.
+# Deterministic test cases, so that CI results are reproducible.
 settings.register_profile('siskinbank', derandomize=True, deadline=None)
 settings.load_profile('siskinbank')
--- a/tests/commands/__init__.py
+++ b/tests/commands/__init__.py
@@ -1,1 +1,1 @@
-"""Tests."""
+"""Tests of the command line."""
--- a/tests/commands/test_commands.py
+++ b/tests/commands/test_commands.py
@@ -20,7 +20,7 @@
     '--platform=http://127.0.0.1:1',
 )
 
-#: Arguments, exit code, and what standard error must say.
+#: Arguments, exit code, and a text that standard error must contain.
 CASES = (
     (('nonsense',), 2, 'No such command'),
     ((*ENTRY, '--bind=1.2.3.4', f'--keys={KEYS}'), 2, 'write IP:PORT'),
@@ -42,7 +42,7 @@
 
 
 def run(*arguments: str) -> subprocess.CompletedProcess[str]:
-    """Run the command line."""
+    """Run the command line in a subprocess."""
     return subprocess.run(
         [sys.executable, '-m', 'siskinbank', *arguments],
         capture_output=True,
@@ -54,43 +54,43 @@
 
 
 class TestCommandLine(unittest.TestCase):
-    """What users see."""
+    """Tests of output and exit codes."""
 
     def test_version(self) -> None:
         """The version is printed."""
         self.assertIn(__version__, run('--version').stdout)
 
-    def test_errors_are_one_clear_line(self) -> None:
-        """Mistakes have an exit code and no traceback."""
-        for arguments, code, wanted in CASES:
+    def test_errors_are_one_line(self) -> None:
+        """Errors give an exit code and one line without a traceback."""
+        for arguments, code, expected in CASES:
             with self.subTest(arguments):
-                ended = run(*arguments)
-                self.assertEqual(ended.returncode, code, ended.stderr)
-                self.assertIn(wanted, ended.stderr)
-                self.assertNotIn('Traceback', ended.stderr)
-                self.assertEqual(ended.stderr.count('\n'), 1)
+                result = run(*arguments)
+                self.assertEqual(result.returncode, code, result.stderr)
+                self.assertIn(expected, result.stderr)
+                self.assertNotIn('Traceback', result.stderr)
+                self.assertEqual(result.stderr.count('\n'), 1)
 
-    def test_alone_teaches(self) -> None:
+    def test_no_command_shows_help(self) -> None:
         """Without a command the help is shown."""
-        ended = run()
-        self.assertEqual(ended.returncode, 2)
-        self.assertTrue(ended.stderr.startswith('Usage: '))
+        result = run()
+        self.assertEqual(result.returncode, 2)
+        self.assertTrue(result.stderr.startswith('Usage: '))
 
-    def test_examples_are_right(self) -> None:
-        """Both example sites pass the check."""
+    def test_examples_are_valid(self) -> None:
+        """Both example sites are valid."""
         for site in ('gr-north', 'norte'):
             with self.subTest(site):
-                ended = run(
+                result = run(
                     'check', 'examples/base.yaml', f'examples/{site}.yaml'
                 )
-                self.assertEqual(ended.returncode, 0, ended.stdout)
-                self.assertIn(f'{site}: ', ended.stdout)
+                self.assertEqual(result.returncode, 0, result.stdout)
+                self.assertIn(f'{site}: ', result.stdout)
 
     def test_render_shows_changes(self) -> None:
-        """Only what differs from the earlier rendering is printed."""
+        """Only differences from the earlier rendering are printed."""
         files = ('examples/base.yaml', 'examples/norte.yaml')
-        with tempfile.TemporaryDirectory() as holder:
-            old = Path(holder) / 'old.yaml'
+        with tempfile.TemporaryDirectory() as directory:
+            old = Path(directory) / 'old.yaml'
             text = run('render', *files).stdout
             old.write_text(
                 text.replace('slots: 2', 'slots: 1', 1),
@@ -103,10 +103,10 @@
         )
 
     def test_render_publishes(self) -> None:
-        """The published form carries generation, digests and sections."""
+        """The published form has the generation and all sections."""
         files = ('examples/base.yaml', 'examples/norte.yaml')
-        whole = run('render', *files, '--publish', '3')
-        published = json.loads(whole.stdout)
+        result = run('render', *files, '--publish', '3')
+        published = json.loads(result.stdout)
         manifest = published['manifest']
         self.assertEqual(manifest['generation'], 3)
         self.assertEqual(
@@ -115,11 +115,11 @@
         )
 
     def test_port_in_use(self) -> None:
-        """A taken port is one clear line."""
+        """A port in use is reported without a traceback."""
         port = free_ports(1)[0]
-        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as taken:
-            taken.bind(('127.0.0.1', port))
-            ended = run(*ENTRY, f'--bind=127.0.0.1:{port}', f'--keys={KEYS}')
-        self.assertEqual(ended.returncode, 4)
-        self.assertIn('in use', ended.stderr)
-        self.assertNotIn('Traceback', ended.stderr)
+        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as bound_socket:
+            bound_socket.bind(('127.0.0.1', port))
+            result = run(*ENTRY, f'--bind=127.0.0.1:{port}', f'--keys={KEYS}')
+        self.assertEqual(result.returncode, 4)
+        self.assertIn('in use', result.stderr)
+        self.assertNotIn('Traceback', result.stderr)
--- a/tests/commands/test_keys.py
+++ b/tests/commands/test_keys.py
@@ -10,18 +10,18 @@
 
 
 def run(*arguments: str) -> tuple[int, list[str]]:
-    """Return the exit code and the lines."""
+    """Run the command; return the exit code and the words of its output."""
     runner = CliRunner()
-    done = runner.invoke(command, arguments, standalone_mode=False)
-    code = 2 if done.exception else done.return_value
-    return code, done.output.split()
+    result = runner.invoke(command, arguments, standalone_mode=False)
+    code = 2 if result.exception else result.return_value
+    return code, result.output.split()
 
 
 class TestKeys(unittest.TestCase):
-    """What the command makes can be used."""
+    """Tests of created and rotated keys."""
 
-    def test_rotation_steps_fit(self) -> None:
-        """Rings of neighbouring steps understand each other."""
+    def test_rotation_steps_are_compatible(self) -> None:
+        """Key rings of consecutive rotation steps accept each other."""
         first = run('make', '--number=255')[1][0]
         code, steps = run('rotate', first)
         self.assertEqual(code, 0)
@@ -33,7 +33,7 @@
         self.assertIsNone(last.open(rings[0].seal(b'x')))
 
     def test_exit_codes(self) -> None:
-        """Weak keys and malformed ones are told apart."""
+        """Weak keys and malformed keys have different exit codes."""
         good = run('make')[1][0]
         for text, expected in (
             (good, 0),
--- a/tests/config/__init__.py
+++ b/tests/config/__init__.py
@@ -1,1 +1,1 @@
-"""Tests."""
+"""Tests of the service configuration."""
--- a/tests/config/test_overlay.py
+++ b/tests/config/test_overlay.py
@@ -1,4 +1,4 @@
-"""Tests of base file, overlays and findings."""
+"""Tests of merging and validating base file and overlays."""
 
 import tempfile
 import unittest
@@ -31,15 +31,18 @@
         port: 7100
 """
 
-#: What is added to the overlay, and the finding it must lead to.
+#: Lines appended to the overlay, and the expected finding.
 CASES = (
     (
         '    slots: 3\n',
-        '11: services.matcher.slots: says what an earlier file says already; remove it here',
+        '11: services.matcher.slots: same value as in an earlier file; remove it here',
     ),
     ('    slot: 3\n', '11: services.matcher.slot: unknown key'),
     ('    slots: 0\n', '11: services.matcher.slots: 0 is not allowed'),
-    ('    slots: 3\n    slots: 4\n', '12: services.matcher.slots: key written'),
+    (
+        '    slots: 3\n    slots: 4\n',
+        '12: services.matcher.slots: duplicate key',
+    ),
     (
         '    cold: {connections: 9000}\n',
         '11: services.matcher.cold.connections: cold limit 9000',
@@ -51,8 +54,8 @@
     (
         '      matcher-2: '
         '{data_centre: gr-north-a, address: 10.0.0.1, port: 7100}\n',
-        '11: services.matcher.hosts.matcher-2: 10.0.0.1:7100 is taken by '
-        'services.matcher.hosts.matcher-1; give each its own',
+        '11: services.matcher.hosts.matcher-2: 10.0.0.1:7100 is already used by '
+        'services.matcher.hosts.matcher-1; use a unique value',
     ),
     (
         '    ingress:\n      quic: {port: 1}\n',
@@ -60,32 +63,35 @@
     ),
     (
         '    ingress:\n      tcp: {address: 10.1.1.1, port: 8080}\n',
-        '12: services.matcher.ingress.tcp: port 8080 is taken by '
+        '12: services.matcher.ingress.tcp: port 8080 is already used by '
         'services.matcher.ingress.http',
     ),
-    ('    weight: null\n', '11: services.matcher.weight: removes what no'),
+    (
+        '    weight: null\n',
+        '11: services.matcher.weight: removes a key that no',
+    ),
     (
         '    slots: &a 4\n    connections: *a\n',
-        '11: services.matcher.connections: an alias stands here',
+        '11: services.matcher.connections: aliases are not supported',
     ),
-    ('    cold: &c {x: *c}\n', '11: services.matcher.cold.x: an alias'),
-    ('    [a]: 1\n', '11: services.matcher: key is not a plain word'),
-    ('    : [\n', '11: not YAML'),
+    ('    cold: &c {x: *c}\n', '11: services.matcher.cold.x: aliases'),
+    ('    [a]: 1\n', '11: services.matcher: key is not a scalar'),
+    ('    : [\n', '11: invalid YAML'),
     ('    slots: !!python/object:os.system x\n', '11: services.matcher.slots'),
 )
 
 
 class TestOverlay(unittest.TestCase):
-    """Loading files."""
+    """Tests of loading files."""
 
     def setUp(self) -> None:
-        """Make a directory for the documents."""
-        holder = tempfile.TemporaryDirectory()
-        self.addCleanup(holder.cleanup)
-        self.directory = Path(holder.name)
+        """Create a directory for the documents."""
+        temporary = tempfile.TemporaryDirectory()
+        self.addCleanup(temporary.cleanup)
+        self.directory = Path(temporary.name)
 
     def load(self, base: str, site: str) -> tuple[DocumentModel | None, str]:
-        """Write and load two documents."""
+        """Write two documents, load them, and return model and findings."""
         (self.directory / 'base.yaml').write_text(base, encoding='utf-8')
         (self.directory / 'site.yaml').write_text(site, encoding='utf-8')
         findings = Findings()
@@ -97,30 +103,30 @@
         return model, '\n'.join(str(finding) for finding in findings)
 
     def test_merges(self) -> None:
-        """The overlay adds hosts to the base's service."""
+        """The overlay adds hosts to a service of the base file."""
         model, findings = self.load(BASE, SITE)
         self.assertEqual(findings, '')
         assert model is not None
         self.assertEqual(list(model.services['matcher'].hosts), ['matcher-1'])
 
     def test_findings(self) -> None:
-        """Each mistake is found at its line and path."""
-        for added, wanted in CASES:
-            with self.subTest(wanted):
-                model, findings = self.load(BASE, SITE + added)
+        """Each error is reported with its line and path."""
+        for extra_lines, expected in CASES:
+            with self.subTest(expected):
+                model, findings = self.load(BASE, SITE + extra_lines)
                 self.assertIsNone(model)
-                self.assertIn(f'site.yaml:{wanted}', findings)
+                self.assertIn(f'site.yaml:{expected}', findings)
 
     def test_null_removes(self) -> None:
-        """An overlay takes off what the base file says."""
-        added = '    ingress: {http: null}\n'
-        model, findings = self.load(BASE, SITE + added)
+        """A null value in an overlay removes a key of the base file."""
+        extra_lines = '    ingress: {http: null}\n'
+        model, findings = self.load(BASE, SITE + extra_lines)
         self.assertEqual(findings, '')
         assert model is not None
         self.assertEqual(list(model.services['matcher'].ingress), ['fou'])
 
-    def test_all_findings_come_together(self) -> None:
-        """Several mistakes are reported in one go."""
+    def test_reports_all_findings(self) -> None:
+        """All errors of a document are reported together."""
         model, findings = self.load(
             BASE.replace('slots: 3', 'slots: x'),
             SITE + '    nonsense: 1\n',
@@ -130,7 +136,7 @@
         self.assertIn('services.matcher.nonsense', findings)
 
     def test_missing_file(self) -> None:
-        """A file that cannot be read is a finding."""
+        """An unreadable file is reported as a finding."""
         findings = Findings()
         self.assertIsNone(load_files('/nonexistent/base.yaml', [], findings))
         self.assertIn('cannot be read', str(next(iter(findings))))
--- a/tests/config/test_sections.py
+++ b/tests/config/test_sections.py
@@ -39,25 +39,25 @@
 
 
 class TestSections(unittest.TestCase):
-    """Splitting and joining."""
+    """Tests of splitting and joining sections."""
 
     def setUp(self) -> None:
-        """Split a document."""
+        """Split a document into sections."""
         self.model = DocumentModel.model_validate(DOCUMENT)
         self.sections = split_sections(self.model)
         digests = {name: hex_digest(raw) for name, raw in self.sections.items()}
         self.manifest = Manifest(4, digests)
 
     def test_round_trip(self) -> None:
-        """Joined sections make the same site as the document."""
+        """Joined sections give the same site as the document."""
         findings = Findings()
         parsed = {name: json.loads(raw) for name, raw in self.sections.items()}
         site = join_sections(self.manifest, parsed, findings)
         self.assertEqual(site, make_site(self.model, self.manifest))
         self.assertEqual(len(findings), 0)
 
-    def test_who_takes_work(self) -> None:
-        """A host in a data centre that is out takes none."""
+    def test_hosts_that_accept_work(self) -> None:
+        """A host in a data centre that is out of service gets no work."""
         site = make_site(self.model, self.manifest)
         hosts = site.services['campo'].hosts
         self.assertEqual(
@@ -66,7 +66,7 @@
         self.assertEqual([site.is_out(host) for host in hosts], [False, True])
 
     def test_invalid_sections_are_findings(self) -> None:
-        """What is published wrongly is refused whole."""
+        """A document with any invalid section is refused as a whole."""
         for sections in ({}, {'site': 3}, {'site': {'site': 'x'}}):
             with self.subTest(sections):
                 findings = Findings()
--- a/tests/kernel/__init__.py
+++ b/tests/kernel/__init__.py
@@ -1,1 +1,1 @@
-"""Tests."""
+"""Tests of the core services."""
--- a/tests/kernel/test_metrics.py
+++ b/tests/kernel/test_metrics.py
@@ -1,4 +1,4 @@
-"""Tests of counters and times."""
+"""Tests of counters and durations."""
 
 import unittest
 
@@ -7,7 +7,7 @@
 
 
 class TestMetrics(unittest.TestCase):
-    """What the exposition says."""
+    """Tests of the Prometheus text format."""
 
     def test_counts_by_reason(self) -> None:
         """Each reason has its own sample."""
@@ -19,14 +19,14 @@
         self.assertEqual(metrics.total('drop'), 3)
 
     def test_zero_counts_are_shown(self) -> None:
-        """A reason can be watched before it first occurs."""
+        """Reasons that have not occurred are shown with the value zero."""
         text = Metrics().exposition().decode()
         for family in ('drop', 'refusal', 'retry'):
             with self.subTest(family):
                 self.assertRegex(text, f'siskinbank_{family}_total.* 0.0')
 
     def test_times_have_quantiles(self) -> None:
-        """Durations become a summary in seconds."""
+        """Durations are exposed as a summary in seconds."""
         metrics = Metrics()
         for _ in range(10):
             metrics.time('request', 0.2)
--- a/tests/kernel/test_plugin_examples.py
+++ b/tests/kernel/test_plugin_examples.py
@@ -1,4 +1,4 @@
-"""The plug-ins of docs/PLUGINS.md, registered and used."""
+"""Tests of the example plug-ins of docs/PLUGINS.md."""
 
 import asyncio
 import runpy
@@ -21,22 +21,22 @@
 
 
 def load(name: str) -> Any:
-    """Return an example's plug-in."""
+    """Return the plug-in of an example."""
     return runpy.run_path(str(EXAMPLES / f'{name}.py'))['plugin']
 
 
 class TestExamples(unittest.IsolatedAsyncioTestCase):
-    """What the page promises works."""
+    """Tests of both example plug-ins after registration."""
 
     def test_choice(self) -> None:
-        """The example ranks by weight."""
+        """The choice plug-in ranks hosts by weight."""
         registry: Registry[ChoicePlugin] = Registry('choice', 'tests')
         registry.register(load('first_choice'))
         rank = registry.find('heaviest').prepare(HOSTS, 2)
         self.assertEqual([host.name for host in rank(7)], ['c', 'a'])
 
     async def test_ingress(self) -> None:
-        """The example answers with the hosts of the router, and drains."""
+        """The ingress sends the ranked hosts, and closes its port on drain."""
         registry: Registry[IngressPlugin] = Registry('ingress', 'tests')
         registry.register(load('hello_ingress'))
         port = free_ports(1)[0]
@@ -53,7 +53,7 @@
 
 
 def fake_context(port: int) -> Any:
-    """Return a context with one service and a router that ranks two hosts."""
+    """Return a context with one service and a router with two hosts."""
     endpoint = types.SimpleNamespace(ingress='hello', port=port)
     service = types.SimpleNamespace(endpoints=[endpoint])
     site = types.SimpleNamespace(services={'first': service})
--- a/tests/kernel/test_registry.py
+++ b/tests/kernel/test_registry.py
@@ -13,23 +13,23 @@
 
 
 class TestRegistry(unittest.TestCase):
-    """Looking plug-ins up."""
+    """Tests of registration and lookup."""
 
     def test_finds_by_name_and_alias(self) -> None:
-        """Names and aliases lead to the same plug-in."""
+        """A name and its alias return the same plug-in."""
         self.assertIs(choices.find('rendezvous'), choices.find('hrw'))
 
     def test_lists_ingresses(self) -> None:
-        """All three built-in ingresses register themselves."""
+        """All three built-in ingresses are registered."""
         self.assertEqual(ingresses.names(), ['fou', 'http', 'tcp'])
 
-    def test_missing_names_the_known(self) -> None:
-        """The error says what there is."""
+    def test_error_lists_known_names(self) -> None:
+        """The error for an unknown name lists the known ones."""
         with self.assertRaisesRegex(PluginNotFoundError, 'known: .*tcp'):
             ingresses.find('quic')
 
-    def test_refuses_twins(self) -> None:
-        """Two plug-ins cannot share a name."""
+    def test_rejects_duplicate_names(self) -> None:
+        """Two plug-ins with the same alias are rejected."""
         registry: Registry[ChoicePlugin] = Registry('x', 'siskinbank.choice')
         registry.register(_plugin('first', 'both'))
         with self.assertRaisesRegex(ValueError, "'both'"):
--- a/tests/test_run.py
+++ b/tests/test_run.py
@@ -1,21 +1,21 @@
-"""Tests of the verdict over known and new failures."""
+"""Tests of the handling of known and new failures."""
 
 import unittest
 
-from tests.run import Tally, known_red, verdict
+from tests.run import ResultRecorder, parse_known_red, summarize
 
 LIST = '# a comment\ntest: tests.a.B.c\ncommand: x\n'
 
 
-class TestVerdict(unittest.TestCase):
-    """What CI forgives."""
+class TestSummary(unittest.TestCase):
+    """Tests of the exit code for CI."""
 
     def test_reads_list(self) -> None:
-        """Only `test:` lines name tests."""
-        self.assertEqual(known_red(LIST), {'tests.a.B.c'})
+        """Only lines with `test:` list tests."""
+        self.assertEqual(parse_known_red(LIST), {'tests.a.B.c'})
 
-    def test_verdicts(self) -> None:
-        """Only listed failures are forgiven; an empty run never passes."""
+    def test_exit_codes(self) -> None:
+        """Only listed failures are tolerated; an empty run always fails."""
         for run, failed, known, code in (
             (2, set(), set(), 0),
             (2, {'a'}, {'a'}, 0),
@@ -25,5 +25,5 @@
         ):
             with self.subTest(run=run, failed=failed, known=known):
                 started = {'a', 'b', 'c'} if run else set()
-                tally = Tally(started, set(), failed)
-                self.assertEqual(verdict(tally, known)[1], code)
+                results = ResultRecorder(started, set(), failed)
+                self.assertEqual(summarize(results, known)[1], code)
--- a/tests/tools/__init__.py
+++ b/tests/tools/__init__.py
@@ -1,1 +1,1 @@
-"""Tests."""
+"""Tests of the build and measurement tools."""
--- a/tests/tools/test_binary.py
+++ b/tests/tools/test_binary.py
@@ -1,4 +1,4 @@
-"""Tests of the one-file build."""
+"""Tests of the single-file build."""
 
 import os
 import subprocess
@@ -10,9 +10,9 @@
 from siskinbank import __version__
 
 ROOT = Path(__file__).parents[2]
-#: Hash seeds that give sets and dictionaries of strings different orders.
+#: Hash seeds that result in different orders of sets of strings.
 SEEDS = ('1', '2')
-#: Loads an extension module of each library that has some.
+#: Imports an extension module of each library that has some.
 LOAD = (
     'import aiohttp._http_parser, cryptography.x509, msgpack._cmsgpack, uvloop,'
     ' pydantic, xxhash, yaml._yaml; print(uvloop.__file__)'
@@ -20,7 +20,7 @@
 
 
 def start_build(target: Path, seed: str) -> subprocess.Popen[bytes]:
-    """Start a build in a process of its own."""
+    """Start a build in a subprocess."""
     return subprocess.Popen(
         [sys.executable, 'tools/build_binary.py', str(target)],
         cwd=ROOT,
@@ -29,36 +29,36 @@
 
 
 class TestBinary(unittest.TestCase):
-    """One file, the same each time, that needs nothing beside it."""
+    """Tests that the build is reproducible and self-contained."""
 
     def test_builds_the_same_and_runs(self) -> None:
-        """Two builds are equal, and the file answers from an empty folder."""
+        """Two builds are equal, and the binary runs without site-packages."""
         with tempfile.TemporaryDirectory() as folder:
-            place = Path(folder)
-            targets = [place / f'siskinbank-{seed}' for seed in SEEDS]
+            directory = Path(folder)
+            targets = [directory / f'siskinbank-{seed}' for seed in SEEDS]
             builds = list(map(start_build, targets, SEEDS))
-            self.assertEqual([done.wait(120) for done in builds], [0, 0])
+            self.assertEqual([build.wait(120) for build in builds], [0, 0])
             first, second = (target.read_bytes() for target in targets)
             self.assertEqual(first, second)
             binary = str(targets[0])
-            # Isolated and without site-packages: only the file's own code.
+            # Isolated mode without site-packages: only code of the binary is loaded.
             python = [sys.executable, '-I', '-S']
-            told = subprocess.run(
+            version_run = subprocess.run(
                 [*python, binary, '--version'],
                 capture_output=True,
                 text=True,
                 check=True,
                 timeout=60,
             )
-            self.assertIn(__version__, told.stdout)
-            loaded = subprocess.run(
+            self.assertIn(__version__, version_run.stdout)
+            import_run = subprocess.run(
                 [*python, '-c', _loader(binary)],
                 capture_output=True,
                 text=True,
                 check=True,
                 timeout=60,
             )
-            self.assertIn(f'{binary}/uvloop', loaded.stdout)
+            self.assertIn(f'{binary}/uvloop', import_run.stdout)
 
 
 def _loader(binary: str) -> str:
--- a/tests/tools/test_start_cost.py
+++ b/tests/tools/test_start_cost.py
@@ -1,8 +1,13 @@
-"""Tests of the measure of a start."""
+"""Tests of the measurement of start costs."""
 
 import unittest
 
-from tools.start_cost import Part, cost, first_request_s, parts
+from tools.start_cost import (
+    ImportTime,
+    cost,
+    time_to_first_request_s,
+    parse_import_times,
+)
 
 REPORT = """import time: self [us] | cumulative | imported package
 import time:       152 |        152 |   zlib
@@ -12,18 +17,21 @@
 
 
 class TestStartCost(unittest.IsolatedAsyncioTestCase):
-    """Part by part."""
+    """Tests of processor, import and start times."""
 
-    def test_parts(self) -> None:
-        """The largest first, anything else left out."""
-        wanted = [Part('siskinbank.relay.http', 643), Part('zlib', 152)]
-        self.assertEqual(parts(REPORT), wanted)
+    def test_parse_import_times(self) -> None:
+        """Import times are sorted in descending order; other lines are skipped."""
+        expected = [
+            ImportTime('siskinbank.relay.http', 643),
+            ImportTime('zlib', 152),
+        ]
+        self.assertEqual(parse_import_times(REPORT), expected)
 
     def test_cost(self) -> None:
-        """A module costs more than none."""
+        """An import takes more processor time than none."""
         self.assertGreater(cost('import asyncio'), cost('pass'))
 
     async def test_first_request(self) -> None:
-        """Both programs serve again; the fleet bounds the time."""
+        """Both programs serve again; the fleet limits the waiting time."""
         for role in ('entry', 'sidecar'):
-            self.assertGreater(await first_request_s(role), 0)
+            self.assertGreater(await time_to_first_request_s(role), 0)
--- a/tools/bootstrap.py
+++ b/tools/bootstrap.py
@@ -1,8 +1,8 @@
-"""The start of the binary: import all from this file, and unpack nothing.
+"""Entry point of the binary, which imports all modules without unpacking.
 
-Python imports plain modules from an archive by itself. Extension modules must
-be files for the system's loader; each is copied into an anonymous file in
-memory and loaded through its place under /proc.
+Python imports pure Python modules directly from an archive. The dynamic loader
+needs extension modules as files, so each is copied to an anonymous file in
+memory and loaded by its path below /proc.
 """
 
 import os
@@ -18,15 +18,15 @@
 
 
 class ExtensionFinder:
-    """Finds the extension modules of the archive."""
+    """Meta path finder for the extension modules of the archive."""
 
     def __init__(self, archive: str) -> None:
-        """Read the archive's list of files."""
+        """Initialize the finder with the list of files of the archive."""
         self._archive = archive
-        with zipfile.ZipFile(archive) as opened:
+        with zipfile.ZipFile(archive) as archive_file:
             names = [
                 name.removeprefix(_EXTENSIONS)
-                for name in opened.namelist()
+                for name in archive_file.namelist()
                 if name.startswith(_EXTENSIONS)
             ]
         self._modules = frozenset(names)
@@ -37,29 +37,29 @@
         _path: Sequence[str] | None = None,
         _target: ModuleType | None = None,
     ) -> machinery.ModuleSpec | None:
-        """Return how to load an extension module, or None if not here."""
+        """Return the spec of an extension module, or None if not found."""
         if fullname not in self._modules:
             return None
-        place = self._copy_to_memory(fullname)
-        loader = machinery.ExtensionFileLoader(fullname, place)
+        path = self._copy_to_memory(fullname)
+        loader = machinery.ExtensionFileLoader(fullname, path)
         return util.spec_from_file_location(
             fullname,
-            place,
+            path,
             loader=loader,
         )
 
     def _copy_to_memory(self, fullname: str) -> str:
-        """Return a path to the module's bytes.
+        """Copy a module to memory and return the path of the copy.
 
-        The descriptor stays open: the system's loader knows libraries by
-        their path, so no other may get the same one.
+        The descriptor stays open: the dynamic loader identifies libraries by
+        path, so no other module may reuse it.
         """
-        with zipfile.ZipFile(self._archive) as opened:
-            library = opened.read(f'{_EXTENSIONS}{fullname}')
-        number = os.memfd_create(fullname, os.MFD_CLOEXEC)
-        with os.fdopen(number, 'wb', closefd=False) as copied:
-            copied.write(library)
-        return f'/proc/self/fd/{number}'
+        with zipfile.ZipFile(self._archive) as archive_file:
+            library = archive_file.read(f'{_EXTENSIONS}{fullname}')
+        descriptor = os.memfd_create(fullname, os.MFD_CLOEXEC)
+        with os.fdopen(descriptor, 'wb', closefd=False) as memory_file:
+            memory_file.write(library)
+        return f'/proc/self/fd/{descriptor}'
 
 
 def _start() -> None:
--- a/tools/build_binary.py
+++ b/tools/build_binary.py
@@ -1,9 +1,10 @@
-"""Build one file that runs everywhere the same Python is installed.
+"""Build a single executable file for machines with the same Python version.
 
     python tools/build_binary.py dist/siskinbank
 
-The same source, Python and lock give the same bytes: files are sorted, carry
-one date, and are compiled without anything that depends on the machine.
+The build is reproducible: the same source, Python and lock file give the same
+bytes. Files are sorted, have a fixed date, and are compiled without anything
+that depends on the machine.
 """
 
 import io
@@ -26,23 +27,23 @@
 _EXECUTABLE = 0o755
 _SUFFIX = re.compile(r'\.(cpython-[\w-]+|abi3)\.so$')
 _NAME = re.compile('^[A-Za-z0-9._-]+')
-#: `importlib.metadata` needs these to answer which version is installed.
+#: Files that `importlib.metadata` needs to return the installed version.
 _METADATA = frozenset(('METADATA', 'entry_points.txt', 'top_level.txt'))
-#: Parts of the dependencies that the programs never import.
-_LEFT_OUT = frozenset(('tests', 'test', '__pycache__', '_testcapi'))
-#: A marshal version without references, whose bytes depend on the code only.
+#: Parts of the dependencies that are never imported.
+_EXCLUDED_PARTS = frozenset(('tests', 'test', '__pycache__', '_testcapi'))
+#: A marshal version without references; its output depends on the code only.
 _MARSHAL_VERSION = 2
-#: Hash-based pycs that are never checked (PEP 552).
+#: Flags of hash-based, unchecked pyc files (PEP 552).
 _UNCHECKED = b'\1\0\0\0'
 
 
 def closure(name: str, known: set[str] | None = None) -> set[str]:
-    """Return a distribution's name and those that it requires, all the way."""
+    """Return the names of a distribution and its transitive requirements."""
     known = set() if known is None else known
-    plain = name.lower().replace('_', '-')
-    if plain in known:
+    normalized = name.lower().replace('_', '-')
+    if normalized in known:
         return known
-    known.add(plain)
+    known.add(normalized)
     for line in metadata.requires(name) or ():
         requirement, _semicolon, marker = line.partition(';')
         if _applies(marker):
@@ -53,7 +54,7 @@
 
 
 def _applies(marker: str) -> bool:
-    """Whether a requirement is needed; extras and absent ones are not."""
+    """Return whether a marker is true here, without any extras."""
     if not marker.strip():
         return True
     from packaging.markers import Marker
@@ -67,13 +68,13 @@
     for name in sorted(closure('siskinbank') - {'siskinbank'}):
         distribution = metadata.distribution(name)
         for file in sorted(distribution.files or (), key=str):
-            if _is_wanted(file):
+            if _is_included(file):
                 yield str(file), Path(str(file.locate())).read_bytes()
 
 
-def _is_wanted(file: metadata.PackagePath) -> bool:
+def _is_included(file: metadata.PackagePath) -> bool:
     parts = set(file.parts) | {file.name.partition('.')[0]}
-    if '..' in parts or parts & _LEFT_OUT:
+    if '..' in parts or parts & _EXCLUDED_PARTS:
         return False
     if file.parts[0].endswith('.dist-info'):
         return file.name in _METADATA
@@ -81,7 +82,7 @@
 
 
 def _member(name: str, content: bytes) -> tuple[str, bytes]:
-    """Return the name and bytes under which a file is archived."""
+    """Return the name and content of a file in the archive."""
     if name.endswith('.so'):
         module = _SUFFIX.sub('', name).replace('/', '.')
         return f'_extensions/{module}', content
@@ -94,23 +95,23 @@
 
 
 def build() -> bytes:
-    """Return the binary's bytes."""
-    held = io.BytesIO()
-    held.write(_SHEBANG.encode())
+    """Return the content of the binary."""
+    output = io.BytesIO()
+    output.write(_SHEBANG.encode())
     bootstrap = (_ROOT / 'tools' / 'bootstrap.py').read_bytes()
     files = {'__main__.py': bootstrap, **dict(_files())}
-    with zipfile.ZipFile(held, 'a', zipfile.ZIP_DEFLATED) as archive:
+    with zipfile.ZipFile(output, 'a', zipfile.ZIP_DEFLATED) as archive:
         for name, content in sorted(files.items()):
             member, packed = _member(name, content)
             info = zipfile.ZipInfo(member, _DATE)
             info.compress_type = zipfile.ZIP_DEFLATED
             info.external_attr = _MODE << 16
             archive.writestr(info, packed)
-    return held.getvalue()
+    return output.getvalue()
 
 
 def main() -> None:
-    """Write the binary to the path that is given."""
+    """Write the binary to the path in the first argument."""
     target = Path(sys.argv[1])
     target.parent.mkdir(parents=True, exist_ok=True)
     target.write_bytes(build())
--- a/tools/build_platform.py
+++ b/tools/build_platform.py
@@ -1,7 +1,7 @@
-"""Compile the processes of the users' platform into a folder.
+"""Compile the processes for the users' platform into a folder.
 
-Only byte code is written, and only of the packages that these processes
-load; ``main.pyc`` starts them.
+Only the byte code of the packages that these processes import is written;
+``main.pyc`` starts them.
 """
 
 import shutil
@@ -23,7 +23,7 @@
 
 
 def build(target: Path) -> int:
-    """Write the byte code of all modules; return how many there are."""
+    """Write the byte code of all modules and return their number."""
     package = _ROOT / 'siskinbank'
     sources = [package / '__init__.py']
     for name in _PACKAGES:
--- a/tools/start_cost.py
+++ b/tools/start_cost.py
@@ -1,12 +1,12 @@
-"""Measure what the start of a lean program costs, part by part.
+"""Measure the start of a lean program in total and by imported module.
 
     .venv/bin/python tools/start_cost.py [entry | sidecar]
 
 Prints the processor time of the bare interpreter and of the program with its
 modules loaded, the time from the start of the program to the first request
-that it serves (among stand-ins on loopback), and the time that each module
-takes, the largest first. On a machine of the users' platform with a share of
-a core, divide by the share.
+that it serves (with stand-ins on loopback), and the import time of each
+module, in descending order. For a machine of the users' platform with a
+fraction of a core, divide by the fraction.
 """
 
 import asyncio
@@ -18,59 +18,65 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-__all__ = ('Part', 'command', 'cost', 'first_request_s', 'parts')
+__all__ = (
+    'ImportTime',
+    'command',
+    'cost',
+    'time_to_first_request_s',
+    'parse_import_times',
+)
 
 _ROOT = Path(__file__).resolve().parent.parent
-# The best of several runs: the others were disturbed.
+# The minimum of several runs excludes the effect of other processes.
 _ROUNDS = 9
 _MS = 1000
 _FIELDS = 3
 
 
 @dataclass(frozen=True, slots=True)
-class Part:
-    """A module and the time that its import takes by itself."""
+class ImportTime:
+    """The import time of a module, without the modules it imports."""
 
     name: str
-    own_us: int
+    self_us: int
 
 
 def command(code: str, *options: str) -> list[str]:
-    """Return how the lean programs' interpreter is started with some code.
+    """Return the command that runs code as the lean programs do.
 
     Args:
-        code: what it runs.
-        options: further options of the interpreter.
+        code: the Python code to run.
+        options: additional interpreter options.
     """
     path = f'import sys; sys.path.insert(0, {str(_ROOT)!r}); {code}'
     return [sys.executable, '-S', '-E', *options, '-c', path]
 
 
 def cost(code: str) -> float:
-    """Return the processor time of an interpreter with some code, in seconds.
+    """Return the processor time of an interpreter running code, in seconds.
 
     Args:
-        code: what it runs.
+        code: the Python code to run.
     """
     return min(_cost_once(code) for _ in range(_ROUNDS))
 
 
-def parts(report: str) -> list[Part]:
-    """Read what ``-X importtime`` writes, the largest part first.
+def parse_import_times(report: str) -> list[ImportTime]:
+    """Parse the output of ``-X importtime``, in descending order of time.
 
     Args:
         report: lines like ``import time:  152 |  300 |   zlib``.
     """
-    found = []
+    import_times = []
     for line in report.splitlines():
         fields = line.removeprefix('import time:').split('|')
         if len(fields) == _FIELDS and fields[0].strip().isdigit():
-            found.append(Part(fields[2].strip(), int(fields[0])))
-    return sorted(found, key=lambda part: part.own_us, reverse=True)
+            import_times.append(ImportTime(fields[2].strip(), int(fields[0])))
+    return sorted(import_times, key=lambda module: module.self_us, reverse=True)
 
 
-async def first_request_s(role: str) -> float:
-    """Restart a program in a small fleet; return when it serves again.
+async def time_to_first_request_s(role: str) -> float:
+    """Restart a program in a small fleet and measure until it serves again.
 
     Args:
         role: ``entry`` or ``sidecar``.
@@ -87,10 +93,10 @@
             await fleet.settle()
             group = fleet.entries if role == 'entry' else fleet.sidecars
             group[0].end()
-            began = time.monotonic()
+            started_at = time.monotonic()
             group[0].start()
             await fleet.settle()
-            return time.monotonic() - began
+            return time.monotonic() - started_at
         finally:
             await fleet.close()
 
@@ -112,14 +118,14 @@
         check=True,
     )
     bare = cost('pass')
-    whole = cost(code)
+    total = cost(code)
     lines = [f'bare interpreter {bare * _MS:.1f} ms']
-    beyond = (whole - bare) * _MS
-    lines.append(f'{role} beyond it {beyond:.1f} ms')
-    serving = asyncio.run(first_request_s(role))
-    lines.append(f'{serving * _MS:.0f} ms from its start to a request')
-    for part in parts(run.stderr):
-        lines.append(f'{part.own_us:7} us {part.name}')
+    beyond_ms = (total - bare) * _MS
+    lines.append(f'{role} beyond it {beyond_ms:.1f} ms')
+    serving_s = asyncio.run(time_to_first_request_s(role))
+    lines.append(f'{serving_s * _MS:.0f} ms from its start to a request')
+    for module in parse_import_times(run.stderr):
+        lines.append(f'{module.self_us:7} us {module.name}')
     return '\n'.join(lines) + '\n'
 
 
