--- a/siskinbank/platform/__init__.py
+++ b/siskinbank/platform/__init__.py
@@ -1,1 +1,4 @@
-"""The users' platform: names, formats and calls, translated here only."""
+"""Adapter for the outside platform: its field names, formats and store calls.
+
+The platform's terms are translated here and occur nowhere else.
+"""
--- a/siskinbank/platform/documents.py
+++ b/siskinbank/platform/documents.py
@@ -1,22 +1,31 @@
-"""JSON as the platform writes it, read without the weight of ``json``."""
+"""Decoding of JSON documents with the scanner of the ``_json`` module.
+
+The ``json`` package is not imported, which saves memory.
+"""
 
 from __future__ import annotations
 
 from _json import make_scanner
 
-__all__ = ('Unreadable', 'decode', 'number_in', 'text_in', 'whole_in')
+__all__ = (
+    'Unreadable',
+    'decode',
+    'integer_field',
+    'number_field',
+    'text_field',
+)
 
 
-# Numbers beyond this are no counts, times or revisions.
-_MOST = 1 << 62
+# Upper limit of counts, times and revisions.
+_MAX_NUMBER = 1 << 62
 
 
 class Unreadable(ValueError):
-    """A document or a field that does not hold what it should."""
+    """A document or a field is malformed."""
 
 
-class _Context:
-    """The settings of the scanner, under the names that it looks for."""
+class _ScannerOptions:
+    """The scanner's options, under the attribute names that it reads."""
 
     strict = True
     object_hook = None
@@ -26,59 +35,61 @@
     parse_constant = float
 
 
-_scan = make_scanner(_Context())  # type: ignore[arg-type]
+_scan = make_scanner(_ScannerOptions())  # type: ignore[arg-type]
 
 
 def decode(raw: bytes) -> dict[str, object]:
-    """Read one JSON object.
+    """Decode a JSON object.
 
     Raises:
-        Unreadable: the bytes are no JSON object.
+        Unreadable: the bytes are not a JSON object.
     """
     try:
         document, _ = _scan(raw.decode().strip(), 0)
     except (ValueError, StopIteration, RecursionError) as error:
-        raise Unreadable(f'no JSON: {error}') from None
+        raise Unreadable(f'invalid JSON: {error}') from None
     if not isinstance(document, dict):
-        raise Unreadable('no JSON object')
+        raise Unreadable('document is not a JSON object')
     return document
 
 
-def text_in(document: dict[str, object], name: str) -> str:
-    """Return a field that holds text.
+def text_field(document: dict[str, object], name: str) -> str:
+    """Return the value of a string field.
 
     Raises:
-        Unreadable: the field is missing or holds something else.
+        Unreadable: the field is missing or not a string.
     """
-    found = document.get(name)
-    if not isinstance(found, str):
-        raise Unreadable(f'{name} is no text')
-    return found
+    value = document.get(name)
+    if not isinstance(value, str):
+        raise Unreadable(f'{name} is not text')
+    return value
 
 
-def whole_in(document: dict[str, object], name: str) -> int:
-    """Return a field that holds a whole number from 0 on, never a boolean.
+def integer_field(document: dict[str, object], name: str) -> int:
+    """Return the value of an integer field, 0 or more; booleans are refused.
 
     Raises:
-        Unreadable: the field is missing or holds something else.
+        Unreadable: the field is missing, not an integer or out of range.
     """
-    found = document.get(name)
-    if not isinstance(found, int) or isinstance(found, bool):
-        raise Unreadable(f'{name} is no whole number')
-    if not 0 <= found <= _MOST:
+    value = document.get(name)
+    if not isinstance(value, int) or isinstance(value, bool):
+        raise Unreadable(f'{name} is not a whole number')
+    if not 0 <= value <= _MAX_NUMBER:
         raise Unreadable(f'{name} is out of range')
-    return found
+    return value
 
 
-def number_in(document: dict[str, object], name: str, default: float) -> float:
-    """Return a field that holds a number from 0 on, or the default.
+def number_field(
+    document: dict[str, object], name: str, default: float
+) -> float:
+    """Return the value of a number field, 0 or more, or the default.
 
     Raises:
-        Unreadable: the field holds something else.
+        Unreadable: the field is not a number or out of range.
     """
-    found = document.get(name, default)
-    if not isinstance(found, int | float) or isinstance(found, bool):
-        raise Unreadable(f'{name} is no number')
-    if not 0 <= found <= _MOST:
+    value = document.get(name, default)
+    if not isinstance(value, int | float) or isinstance(value, bool):
+        raise Unreadable(f'{name} is not a number')
+    if not 0 <= value <= _MAX_NUMBER:
         raise Unreadable(f'{name} is out of range')
-    return float(found)
+    return float(value)
--- a/siskinbank/platform/encoding.py
+++ b/siskinbank/platform/encoding.py
@@ -1,4 +1,7 @@
-"""The platform's side of its formats, for stand-ins; no process loads this."""
+"""Encoders of the platform's formats, for tests and the lab's stand-ins.
+
+No siskinbank process imports this module.
+"""
 
 from __future__ import annotations
 
@@ -26,13 +29,13 @@
     'request_bytes',
 )
 
-_HEAD = Struct('!IIIB4s4sHHIH')
+_HEADER = Struct('!IIIB4s4sHHIH')
 _MS = 1000
 
 
 @dataclass(frozen=True, slots=True)
 class Packet:
-    """A packet with all its fields."""
+    """A packet with all its header fields and its data."""
 
     source: tuple[str, int]
     target: tuple[str, int]
@@ -45,8 +48,8 @@
 
     @classmethod
     def read(cls, raw: bytes) -> 'Packet':
-        """Read a datagram."""
-        fields = _HEAD.unpack_from(raw)
+        """Decode a datagram."""
+        fields = _HEADER.unpack_from(raw)
         return cls(
             (inet_ntoa(fields[4]), fields[6]),
             (inet_ntoa(fields[5]), fields[7]),
@@ -60,16 +63,16 @@
 
     @property
     def whole(self) -> bool:
-        """Whether its sender wrote it so."""
-        return self.checksum == self._sum()
+        """Whether the checksum matches the packet."""
+        return self.checksum == self._compute_checksum()
 
     def write(self) -> bytes:
-        """Return the datagram, with its checksum."""
-        return replace(self, checksum=self._sum()).bare()
+        """Return the datagram with a computed checksum."""
+        return replace(self, checksum=self._compute_checksum()).pack()
 
-    def bare(self) -> bytes:
-        """Return the datagram with the checksum as it is."""
-        head = _HEAD.pack(
+    def pack(self) -> bytes:
+        """Return the datagram with the checksum field unchanged."""
+        head = _HEADER.pack(
             self.checksum,
             self.number,
             self.acknowledged,
@@ -83,9 +86,11 @@
         )
         return head + self.content
 
-    def _sum(self) -> int:
-        bare = replace(self, checksum=0, echo=0, flags=self.flags & ~BOUNCED)
-        return crc32(bare.bare())
+    def _compute_checksum(self) -> int:
+        unmarked = replace(
+            self, checksum=0, echo=0, flags=self.flags & ~BOUNCED
+        )
+        return crc32(unmarked.pack())
 
 
 @dataclass(frozen=True, slots=True)
@@ -101,7 +106,7 @@
     born_ms: int = 1
 
     def encode(self) -> bytes:
-        """Return the entry's bytes."""
+        """Return the entry as JSON."""
         ip, port = self.address
         return _json(
             {
@@ -120,7 +125,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RouteEntry:
-    """A route of the operator's configuration."""
+    """A route in the operator's configuration."""
 
     service: str
     address: tuple[str, int]
@@ -133,7 +138,7 @@
     routes: list[RouteEntry],
     cold_per_s: float = 0,
 ) -> bytes:
-    """Return the operator's configuration."""
+    """Return the operator's configuration as JSON."""
     services = sorted({route.service for route in routes})
     return _json(
         {
@@ -167,7 +172,7 @@
     host: tuple[str, int] | None = None
 
     def encode(self) -> bytes:
-        """Return the file's bytes."""
+        """Return the file's content as JSON."""
         packets, ready, peers, output = self.ports
         listen = {
             'DatagramAddr': f'{self.ip}:{packets}',
@@ -193,14 +198,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Item:
-    """An item of the store; without content it was removed."""
+    """An item of the store; ``content`` is None if it was removed."""
 
     key: str
     content: bytes | None
     revision: int
 
     def document(self) -> dict[str, object]:
-        """Return it as the store writes it."""
+        """Return the item in the form of a store response."""
         if self.content is None:
             return {'Key': self.key, 'Rev': self.revision, 'Removed': True}
         text = b2a_base64(self.content, newline=False).decode()
@@ -209,7 +214,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """A call to the store: ``list``, ``watch`` or ``read``."""
+    """A decoded call to the store; ``kind`` is list, watch or read."""
 
     kind: str
     prefix: str
@@ -219,9 +224,9 @@
 
 
 def read_call(path: str) -> Call:
-    """Decode the path of a call."""
+    """Decode the request path of a call to the store."""
     parts = urlsplit(path)
-    query = {name: words[0] for name, words in parse_qs(parts.query).items()}
+    query = {name: values[0] for name, values in parse_qs(parts.query).items()}
     kinds = {
         '/api/kv-range': 'list',
         '/api/kv-watch': 'watch',
@@ -243,7 +248,7 @@
     more: bool = False,
     watch: bool = False,
 ) -> bytes:
-    """Return a page of a listing, or the changes of a watch."""
+    """Return the response body of a listing or of a watch."""
     rows = [item.document() for item in items]
     if watch:
         return _json({'events': rows, 'At': revision})
@@ -251,7 +256,7 @@
 
 
 def request_bytes(name: str, length: int = 0) -> bytes:
-    """Return an HTTP request with an id of its own."""
+    """Return an HTTP request with the given id and body length."""
     head = (
         f'POST / HTTP/1.1\r\nHost: a\r\nSiskinbank-Attempt-Id: {name}\r\n'
         f'Content-Length: {length}\r\n\r\n'
@@ -260,7 +265,7 @@
 
 
 def answer_bytes(name: str, host: str) -> bytes:
-    """Return a host's answer to a request; it names both."""
+    """Return a host's HTTP response; its body names request and host."""
     body = f'{name} {host}'
     return (
         f'HTTP/1.1 200 OK\r\nContent-Length: {len(body)}\r\n\r\n{body}'.encode()
--- a/siskinbank/platform/packets.py
+++ b/siskinbank/platform/packets.py
@@ -1,4 +1,4 @@
-"""The head of a packet, and the few packets that the system itself writes."""
+"""Fields of packet headers and HTTP heads, and encoding of reset packets."""
 
 from __future__ import annotations
 
@@ -30,57 +30,57 @@
 )
 
 HEAD_BYTES = 31
-# A datagram holds the head and at most 1,200 bytes of data.
+# A datagram holds the header and at most 1,200 bytes of data.
 MAX_PACKET_BYTES = HEAD_BYTES + 1200
 
 SYN = 0x04
 ACK = 0x80
 FIN = 0x02
 RST = 0x20
-# Set by a host on a packet that it does not take; no part of the checksum.
+# Set by a host on a packet that it refuses; not covered by the checksum.
 BOUNCED = 0x01
 _KNOWN_FLAGS = SYN | ACK | FIN | RST | BOUNCED
 
-# Client address, service address and both ports as they lie in the head of a
-# client's packet: the bytes that name a flow everywhere in the system.
+# Client address, service address and both ports in the header of a client's
+# packet. These bytes are the key of a flow in all processes.
 FLOW_KEY = slice(13, 25)
 
-_FLAGS = 12
+_FLAGS_OFFSET = 12
 _SOURCE = slice(13, 17)
 _DESTINATION = slice(17, 21)
 _SOURCE_PORT = slice(21, 23)
 _DESTINATION_PORT = slice(23, 25)
-_NUMBERS = Struct('!II')
-_NUMBERS_AT = 4
-_LENGTH_AT = 29
+_SEQUENCE_NUMBERS = Struct('!II')
+_SEQUENCE_NUMBERS_OFFSET = 4
+_LENGTH_OFFSET = 29
 _PORTS = Struct('!HH')
-_PORTS_IN_KEY = 8
+_PORTS_OFFSET_IN_KEY = 8
 
 _METHOD_END = HEAD_BYTES + 4
 _METHODS = frozenset((b'GET ', b'POST', b'PUT ', b'HEAD', b'DELE', b'PATC'))
 _HTTP = b'HTTP'
-# After `HTTP/1.1 `.
+# The status code follows `HTTP/1.1 `.
 _STATUS = slice(HEAD_BYTES + 9, HEAD_BYTES + 12)
 _LINE_END = b'\r\n'
 _REQUEST_ID = b'\r\nSiskinbank-Attempt-Id: '
-# The host worked on nothing, whatever the status says.
+# The host did not run the request, whatever the status is.
 _NOT_EXECUTED = b'\r\nSiskinbank-Not-Executed'
 
-_RESET = Struct('!IIIB4s4sHHIH')
+_HEADER = Struct('!IIIB4s4sHHIH')
 
 
 def problem_of(packet: bytes) -> str | None:
-    """Say why a packet of a client cannot be one, None if it can.
+    """Return why a client's packet is invalid, or None if it is valid.
 
     Args:
-        packet: one datagram as it came.
+        packet: one datagram as received.
     """
     if len(packet) < HEAD_BYTES:
         return 'short'
-    length = packet[_LENGTH_AT] << 8 | packet[_LENGTH_AT + 1]
+    length = packet[_LENGTH_OFFSET] << 8 | packet[_LENGTH_OFFSET + 1]
     if length != len(packet) - HEAD_BYTES:
         return 'length'
-    flags = packet[_FLAGS]
+    flags = packet[_FLAGS_OFFSET]
     if flags & ~_KNOWN_FLAGS:
         return 'flags'
     if flags & BOUNCED or flags & (SYN | ACK) == SYN | ACK:
@@ -91,17 +91,17 @@
 
 def flags_of(packet: bytes) -> int:
     """Return the flags of a packet."""
-    return packet[_FLAGS]
+    return packet[_FLAGS_OFFSET]
 
 
 def not_bounced(packet: bytes) -> bytes:
-    """Return a packet as its client sent it, before a host bounced it."""
-    flags = bytes((packet[_FLAGS] & ~BOUNCED,))
-    return packet[:_FLAGS] + flags + packet[_FLAGS + 1 :]
+    """Return a packet without the bounced flag, as its client sent it."""
+    flags = bytes((packet[_FLAGS_OFFSET] & ~BOUNCED,))
+    return packet[:_FLAGS_OFFSET] + flags + packet[_FLAGS_OFFSET + 1 :]
 
 
 def answer_key(packet: bytes) -> bytes:
-    """Return the key of the flow that a host's own packet belongs to."""
+    """Return the flow key of a packet that a host sent."""
     return b''.join(
         (
             packet[_DESTINATION],
@@ -113,28 +113,30 @@
 
 
 def client_address(key: bytes) -> str:
-    """Return the address of the client of a flow, as text."""
+    """Return the client's IP address in a flow key, as text."""
     return inet_ntoa(key[:4])
 
 
 def route_key(key: bytes) -> bytes:
-    """Return the part of a flow's key that names its route: 4 + 2 bytes."""
+    """Return the address and port of the route in a flow key: 4 + 2 bytes."""
     return key[4:8] + key[10:12]
 
 
 def sequence_numbers(packet: bytes) -> tuple[int, int]:
-    """Return the sequence and the acknowledged number of a packet."""
-    numbers: tuple[int, int] = _NUMBERS.unpack_from(packet, _NUMBERS_AT)
+    """Return the sequence and the acknowledgement number of a packet."""
+    numbers: tuple[int, int] = _SEQUENCE_NUMBERS.unpack_from(
+        packet, _SEQUENCE_NUMBERS_OFFSET
+    )
     return numbers
 
 
 def begins_request(packet: bytes) -> bool:
-    """Say whether a client's packet begins an HTTP request."""
+    """Return whether a client's packet starts an HTTP request."""
     return packet[HEAD_BYTES:_METHOD_END] in _METHODS
 
 
 def request_id(packet: bytes) -> str:
-    """Return the id that a client gave the request, or a dash."""
+    """Return the client's id of the request, or a dash if it has none."""
     _, found, rest = packet.partition(_REQUEST_ID)
     if not found:
         return '-'
@@ -142,23 +144,24 @@
 
 
 class Answer:
-    """The begin of a host's answer.
+    """The head of a host's HTTP response.
 
     Attributes:
-        status: the HTTP status, as text.
-        executed: False if the host says that it has not run the request.
+        status: the HTTP status code, as text.
+        executed: False if the response states that the host did not run the
+            request.
     """
 
     __slots__ = ('executed', 'status')
 
     def __init__(self, status: str, executed: bool) -> None:
-        """Fill in both fields."""
+        """Create a response head."""
         self.status = status
         self.executed = executed
 
 
 def read_answer(packet: bytes) -> Answer | None:
-    """Return the answer that a host's packet begins, None if none does."""
+    """Return the response that a host's packet starts, or None."""
     if packet[HEAD_BYTES:_METHOD_END] != _HTTP:
         return None
     status = packet[_STATUS].decode('latin-1').strip()
@@ -166,15 +169,15 @@
 
 
 def reset_for(packet: bytes) -> bytes:
-    """Write the reset that ends the flow of a client's packet.
+    """Return the reset packet that ends the flow of a client's packet.
 
-    The sequence number repeats what the client acknowledged last, as clients
-    take a reset only near that number.
+    Its sequence number is the number that the client acknowledged last, since
+    clients accept a reset only near that number.
     """
     key = packet[FLOW_KEY]
-    client_port, service_port = _PORTS.unpack_from(key, _PORTS_IN_KEY)
+    client_port, service_port = _PORTS.unpack_from(key, _PORTS_OFFSET_IN_KEY)
     acknowledged = sequence_numbers(packet)[1]
-    return _RESET.pack(
+    return _HEADER.pack(
         0,
         acknowledged,
         0,
@@ -189,8 +192,8 @@
 
 
 def describe(key: bytes) -> str:
-    """Return a flow's key as text for logs: client, then service address."""
-    client_port, service_port = _PORTS.unpack_from(key, _PORTS_IN_KEY)
+    """Return a flow key as text for logs: client address, service address."""
+    client_port, service_port = _PORTS.unpack_from(key, _PORTS_OFFSET_IN_KEY)
     client = inet_ntoa(key[:4])
     service = inet_ntoa(key[4:8])
     return f'{client}:{client_port}-{service}:{service_port}'
--- a/siskinbank/platform/records.py
+++ b/siskinbank/platform/records.py
@@ -1,4 +1,4 @@
-"""What hosts and operators write into the platform's store, decoded."""
+"""Decoding of host entries and the operator's configuration in the store."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 from siskinbank.platform.documents import (
     Unreadable,
     decode,
-    number_in,
-    text_in,
-    whole_in,
+    integer_field,
+    number_field,
+    text_field,
 )
 
 __all__ = (
@@ -21,27 +21,28 @@
 )
 
 _MS = 1000
-# Steps in which the share of a weighted service is drawn.
-_DRAWS = 1 << 16
+# Number of steps in the draw of a weighted service.
+_DRAW_STEPS = 1 << 16
 _MAX_PORT = 65535
-# More slots than this are not counted.
-_MOST_SLOTS = 65535
-# For a route that states no time limit: the shortest of the users' requests.
-_DEFAULT_LIMIT_MS = 1500
+# Higher slot counts are capped at this value.
+_MAX_SLOTS = 65535
+# Used for routes without a time limit: the shortest limit of the users'
+# requests.
+_DEFAULT_TIMEOUT_MS = 1500
 
 
 class HostRecord:
     """A host's own entry in the store.
 
     Attributes:
-        service: the service that it says it belongs to.
-        ip: its address; its sidecar has the same one.
-        data_centre: where it stands.
-        slots: requests that it works on at a time.
-        draining: it is leaving and takes no new work.
-        cold_s: for how much longer it is cold, in seconds at the time of the
-            read.
-        born_ms: the time of its start, which tells one life from the next.
+        service: the service that the host belongs to.
+        ip: the host's IP address; its sidecar has the same one.
+        data_centre: data centre of the host.
+        slots: requests that the host processes concurrently.
+        draining: whether the host is leaving and accepts no new requests.
+        cold_s: remaining warm-up time when the entry was read, in seconds.
+        born_ms: start time of the host in milliseconds, which distinguishes
+            its incarnations.
     """
 
     __slots__ = (
@@ -55,32 +56,38 @@
     )
 
     def __init__(self, document: dict[str, object]) -> None:
-        """Decode an entry.
+        """Initialize the record from a decoded entry.
 
         Raises:
-            Unreadable: the entry names no host to use.
+            Unreadable: the entry does not describe a usable host.
         """
-        self.service = text_in(document, 'Service')
-        self.ip = _host_ip(text_in(document, 'Address'))
-        self.data_centre = text_in(document, 'Zone')
-        self.slots = min(max(1, whole_in(document, 'Slots')), _MOST_SLOTS)
-        state = text_in(document, 'State')
+        self.service = text_field(document, 'Service')
+        self.ip = _host_ip(text_field(document, 'Address'))
+        self.data_centre = text_field(document, 'Zone')
+        self.slots = min(max(1, integer_field(document, 'Slots')), _MAX_SLOTS)
+        state = text_field(document, 'State')
         if state not in {'ready', 'draining'}:
-            raise Unreadable(f'State {state!r} is unknown')
+            raise Unreadable(
+                f'State {state!r} is unknown, expected ready or draining'
+            )
         self.draining = state == 'draining'
-        # The rest of the cold time, not a time of day.
-        self.cold_s = number_in(document, 'WarmupLeftMs', 0) / _MS
-        self.born_ms = whole_in(document, 'born') if 'born' in document else 0
+        # A remaining duration, not a timestamp.
+        self.cold_s = number_field(document, 'WarmupLeftMs', 0) / _MS
+        self.born_ms = (
+            integer_field(document, 'born') if 'born' in document else 0
+        )
 
 
 class Route:
-    """Where new flows to one address go.
+    """The services and time limits for new flows to one address.
 
     Attributes:
-        shares: the services that take new flows, each with its weight above 0.
-        repeatable: whether a request may run more than once.
-        aim_s: latency that users expect.
-        limit_s: time after which a request's answer is of no use.
+        shares: the services that receive new flows, each with its weight
+            above 0.
+        repeatable: whether requests may run more than once.
+        aim_s: target latency in seconds.
+        limit_s: time in seconds after which a response is of no use to the
+            client.
     """
 
     __slots__ = ('aim_s', 'limit_s', 'repeatable', 'shares')
@@ -92,21 +99,21 @@
         aim_s: float,
         limit_s: float,
     ) -> None:
-        """Name the services and describe the requests inside."""
+        """Create a route."""
         self.shares = shares
         self.repeatable = repeatable
         self.aim_s = aim_s
         self.limit_s = limit_s
 
     def service_for(self, draw: int) -> str:
-        """Return the service of a new flow; there must be shares.
+        """Return the service of a new flow; ``shares`` must not be empty.
 
         Args:
-            draw: a number drawn from the flow's key, so that all copies of a
-                flow's first packet go to one service.
+            draw: a number derived from the flow key, so that all copies of a
+                flow's first packet go to the same service.
         """
         total = sum(weight for _, weight in self.shares)
-        point = draw % _DRAWS / _DRAWS * total
+        point = draw % _DRAW_STEPS / _DRAW_STEPS * total
         for service, weight in self.shares:
             point -= weight
             if point < 0:
@@ -115,17 +122,17 @@
 
 
 class Warmth:
-    """How a service's hosts bear a cold start.
+    """Warm-up settings of the hosts of one service.
 
     Attributes:
-        per_s: requests a second that a cold host bears.
-        cold_s: how long a host is cold after its start.
+        per_s: requests per second that a cold host can process.
+        cold_s: duration of the warm-up after a start, in seconds.
     """
 
     __slots__ = ('cold_s', 'per_s')
 
     def __init__(self, per_s: float, cold_s: float) -> None:
-        """Set both figures."""
+        """Create warm-up settings."""
         self.per_s = per_s
         self.cold_s = cold_s
 
@@ -134,7 +141,7 @@
     """Decode the entry of a host.
 
     Raises:
-        Unreadable: the bytes name no host to use.
+        Unreadable: the bytes do not describe a usable host.
     """
     return HostRecord(decode(raw))
 
@@ -145,73 +152,81 @@
     """Decode the operator's configuration.
 
     Returns:
-        The version, the routes by address and port (4 + 2 bytes, as in a
-        flow's key), and the services by name.
+        The version, the routes by address and port (4 + 2 bytes, as in a flow
+        key), and the warm-up settings by service name.
 
     Raises:
-        Unreadable: the configuration is not whole; none of it holds.
+        Unreadable: the configuration is incomplete or malformed; no part of it
+            is returned.
     """
     document = decode(raw)
-    version = whole_in(document, 'Version')
-    routes = dict(_route(route) for route in _rows(document, 'Routes'))
-    services = dict(_warmth(service) for service in _rows(document, 'Services'))
+    version = integer_field(document, 'Version')
+    routes = dict(
+        _parse_route(route) for route in _table_rows(document, 'Routes')
+    )
+    services = dict(
+        _parse_warm_up(service) for service in _table_rows(document, 'Services')
+    )
     return version, routes, services
 
 
-def _rows(document: dict[str, object], name: str) -> list[dict[str, object]]:
-    found = document.get(name)
-    if not isinstance(found, list):
-        raise Unreadable(f'{name} is no list')
-    for row in found:
+def _table_rows(
+    document: dict[str, object], name: str
+) -> list[dict[str, object]]:
+    rows = document.get(name)
+    if not isinstance(rows, list):
+        raise Unreadable(f'{name} is not a list')
+    for row in rows:
         if not isinstance(row, dict):
-            raise Unreadable(f'{name} holds no tables')
-    return found
+            raise Unreadable(f'{name} holds an element that is not an object')
+    return rows
 
 
-def _route(document: dict[str, object]) -> tuple[bytes, Route]:
-    # `Host` is the service's address and `Prefix` its port between slashes.
-    port = text_in(document, 'Prefix').strip('/')
+def _parse_route(document: dict[str, object]) -> tuple[bytes, Route]:
+    # `Host` is the service's address, `Prefix` its port between slashes.
+    port = text_field(document, 'Prefix').strip('/')
     if not port.isdigit() or int(port) > _MAX_PORT:
         raise Unreadable(f'Prefix {port!r} holds no port')
-    address = _packed(text_in(document, 'Host'))
-    limit_ms = number_in(document, 'TimeoutMs', _DEFAULT_LIMIT_MS)
+    address = _pack_ip(text_field(document, 'Host'))
+    timeout_ms = number_field(document, 'TimeoutMs', _DEFAULT_TIMEOUT_MS)
     route = Route(
         _shares(document),
         document.get('Kind') == 'safe',
-        number_in(document, 'TargetLatencyMs', limit_ms) / _MS,
-        limit_ms / _MS,
+        number_field(document, 'TargetLatencyMs', timeout_ms) / _MS,
+        timeout_ms / _MS,
     )
     return address + int(port).to_bytes(2, 'big'), route
 
 
 def _shares(document: dict[str, object]) -> tuple[tuple[str, float], ...]:
     if 'Service' in document:
-        return ((text_in(document, 'Service'), 1.0),)
-    rows = _rows(document, 'WeightedBackends')
+        return ((text_field(document, 'Service'), 1.0),)
+    rows = _table_rows(document, 'WeightedBackends')
     pairs = (
-        (text_in(row, 'Service'), number_in(row, 'Weight', 0)) for row in rows
+        (text_field(row, 'Service'), number_field(row, 'Weight', 0))
+        for row in rows
     )
     return tuple((service, weight) for service, weight in pairs if weight > 0)
 
 
-def _warmth(document: dict[str, object]) -> tuple[str, Warmth]:
-    warmth = Warmth(
-        number_in(document, 'WarmupPerS', 0),
-        number_in(document, 'WarmupS', 0),
+def _parse_warm_up(document: dict[str, object]) -> tuple[str, Warmth]:
+    warm_up = Warmth(
+        number_field(document, 'WarmupPerS', 0),
+        number_field(document, 'WarmupS', 0),
     )
-    return text_in(document, 'Name'), warmth
+    return text_field(document, 'Name'), warm_up
 
 
 def _host_ip(address: str) -> str:
     ip, _, port = address.rpartition(':')
     if not port.isdigit():
         raise Unreadable(f'Address {address!r} has no port')
-    _packed(ip)
+    _pack_ip(ip)
     return ip
 
 
-def _packed(ip: str) -> bytes:
+def _pack_ip(ip: str) -> bytes:
     try:
         return inet_pton(AF_INET, ip)
     except OSError:
-        raise Unreadable(f'{ip!r} is no address') from None
+        raise Unreadable(f'{ip!r} is not an IPv4 address') from None
--- a/siskinbank/platform/settings.py
+++ b/siskinbank/platform/settings.py
@@ -1,34 +1,35 @@
-"""The settings file that the platform hands to each process."""
+"""Decoding of the settings file that the platform gives to each process."""
 
 from __future__ import annotations
 
-from siskinbank.platform.documents import Unreadable, decode, text_in
+from siskinbank.platform.documents import Unreadable, decode, text_field
 
 __all__ = ('READY_PATH', 'SETTINGS_VARIABLE', 'Settings', 'read_settings')
 
-# Where the platform asks whether a process takes work.
+# HTTP path of the readiness check of the platform.
 READY_PATH = '/api/ready'
 
 SETTINGS_VARIABLE = 'SISKINBANK_SETTINGS'
 
 
 class Settings:
-    """What a process is told about itself and its surroundings.
+    """Settings of one process.
 
     Attributes:
         instance: the name of this instance.
-        ip: its address.
-        data_centre: where it stands.
-        packet_port: UDP port for packets; clients listen on the same number.
-        peer_port: UDP port for messages between the system's own processes.
-        ready_address: where the platform asks whether this process is ready.
-        host_output: where the host beside a sidecar sends its packets, or
+        ip: IP address of this instance.
+        data_centre: data centre of this instance.
+        packet_port: UDP port for packets; clients use the same port number.
+        peer_port: UDP port for messages between siskinbank processes.
+        ready_address: address on which readiness checks are answered.
+        host_output: address to which a sidecar's host sends its packets, or
             None at an entry.
-        host_address: where that host takes packets, or None at an entry.
-        service: the service that this host belongs to, or None at an entry.
-        seeds: addresses of entries that may know the others.
+        host_address: address on which that host receives packets, or None at
+            an entry.
+        service: service of that host, or None at an entry.
+        seeds: IP addresses of entries that are contacted first.
         store: address of the platform's store.
-        heartbeat_s: how often hosts write their entries.
+        heartbeat_s: interval at which hosts write their entries, in seconds.
     """
 
     __slots__ = (
@@ -47,77 +48,81 @@
     )
 
     def __init__(self, document: dict[str, object]) -> None:
-        """Decode the file.
+        """Initialize the settings from the decoded file.
 
         Raises:
-            Unreadable: a field that the process needs is missing or wrong.
+            Unreadable: a required field is missing or malformed.
         """
-        listen = _table(document, 'Listen')
-        self.instance = text_in(document, 'NodeName')
-        self.ip = text_in(document, 'Ip')
-        self.data_centre = text_in(document, 'Zone')
-        # The platform's one name holds an address for entries and sidecars;
-        # only the port is the same for clients too.
-        self.packet_port = _address(text_in(listen, 'DatagramAddr'))[1]
-        self.ready_address = _address(text_in(listen, 'ReadyAddr'))
+        listen = _table_field(document, 'Listen')
+        self.instance = text_field(document, 'NodeName')
+        self.ip = text_field(document, 'Ip')
+        self.data_centre = text_field(document, 'Zone')
+        # The platform has one field for the addresses of entries and
+        # sidecars; clients use the same port, but not the same address.
+        self.packet_port = _parse_address(text_field(listen, 'DatagramAddr'))[1]
+        self.ready_address = _parse_address(text_field(listen, 'ReadyAddr'))
         self.peer_port = _first_port(document)
-        self.host_output = _optional_address(listen, 'outbound')
-        # `app` is the host beside this sidecar, not an application.
-        self.host_address = _optional_address(document, 'app')
+        self.host_output = _optional_address_field(listen, 'outbound')
+        # `app` is the address of the host of this sidecar.
+        self.host_address = _optional_address_field(document, 'app')
         service = document.get('Service')
         self.service = service if isinstance(service, str) else None
         self.seeds = _seeds(document)
-        # `platform` holds the store alone.
-        store = _table(document, 'platform')
-        self.store = _address(text_in(store, 'Address'))
-        beat = document.get('HeartbeatMs')
-        self.heartbeat_s = beat / 1000 if isinstance(beat, int) else 1.0
+        # `platform` holds only the address of the store.
+        store = _table_field(document, 'platform')
+        self.store = _parse_address(text_field(store, 'Address'))
+        heartbeat_ms = document.get('HeartbeatMs')
+        self.heartbeat_s = (
+            heartbeat_ms / 1000 if isinstance(heartbeat_ms, int) else 1.0
+        )
 
 
 def read_settings(path: str) -> Settings:
-    """Read the settings file.
+    """Read and decode the settings file.
 
     Raises:
         OSError: the file cannot be read.
-        Unreadable: it does not hold what a process needs.
+        Unreadable: a required field is missing or malformed.
     """
     with open(path, 'rb') as stream:
         return Settings(decode(stream.read()))
 
 
-def _table(document: dict[str, object], name: str) -> dict[str, object]:
-    found = document.get(name)
-    if not isinstance(found, dict):
-        raise Unreadable(f'{name} is no table')
-    return found
+def _table_field(document: dict[str, object], name: str) -> dict[str, object]:
+    value = document.get(name)
+    if not isinstance(value, dict):
+        raise Unreadable(f'{name} is not an object')
+    return value
 
 
-def _address(text: str) -> tuple[str, int]:
+def _parse_address(text: str) -> tuple[str, int]:
     ip, _, port = text.rpartition(':')
     if not ip or not port.isdigit():
-        raise Unreadable(f'{text!r} is no address')
+        raise Unreadable(f'{text!r} is not an address with a port')
     return ip, int(port)
 
 
-def _optional_address(
+def _optional_address_field(
     document: dict[str, object],
     name: str,
 ) -> tuple[str, int] | None:
-    found = document.get(name)
-    return _address(found) if isinstance(found, str) else None
+    value = document.get(name)
+    return _parse_address(value) if isinstance(value, str) else None
 
 
 def _first_port(document: dict[str, object]) -> int:
     ports = document.get('InternalPortRange')
     if not isinstance(ports, list) or not isinstance(ports[0], int):
-        raise Unreadable('InternalPortRange is no range')
+        raise Unreadable('InternalPortRange is not a list of ports')
     return ports[0]
 
 
 def _seeds(document: dict[str, object]) -> tuple[str, ...]:
-    # Seeds are control addresses; peers are met at the same machines, on the
-    # port for peers.
-    found = document.get('Seeds')
-    if not isinstance(found, list):
+    # Seeds are control addresses. Peers listen on the same machines, on the
+    # peer port, so only the IP addresses are kept.
+    value = document.get('Seeds')
+    if not isinstance(value, list):
         return ()
-    return tuple(_address(seed)[0] for seed in found if isinstance(seed, str))
+    return tuple(
+        _parse_address(seed)[0] for seed in value if isinstance(seed, str)
+    )
--- a/siskinbank/platform/store.py
+++ b/siskinbank/platform/store.py
@@ -1,11 +1,16 @@
-"""Calls to the platform's store: paths to ask for, and answers decoded."""
+"""Request paths and response decoding for calls to the platform's store."""
 
 from __future__ import annotations
 
 from binascii import Error as Base64Error
 from binascii import a2b_base64
 
-from siskinbank.platform.documents import Unreadable, decode, text_in, whole_in
+from siskinbank.platform.documents import (
+    Unreadable,
+    decode,
+    integer_field,
+    text_field,
+)
 
 __all__ = (
     'CONFIGURATION_KEY',
@@ -22,9 +27,9 @@
     'read_watch',
 )
 
-# The hosts' own entries, by host id.
+# Key prefix of host entries; the host id follows.
 HOSTS = 'servers/'
-# All that the operator writes.
+# Key prefix of all keys that the operator writes.
 OPERATOR = 'op/'
 CONFIGURATION_KEY = 'op/config'
 EVACUATIONS = 'op/evacuate/'
@@ -35,30 +40,30 @@
 
 
 class Change:
-    """One item, as it lies in the store or as it was changed.
+    """One item of a listing, or the change of an item in a watch.
 
     Attributes:
-        key: its name.
-        content: its bytes, None if it was removed.
-        revision: the revision of its last change.
+        key: key of the item.
+        content: value of the item, None if it was removed.
+        revision: store revision of the item's last change.
     """
 
     __slots__ = ('content', 'key', 'revision')
 
     def __init__(self, key: str, content: bytes | None, revision: int) -> None:
-        """Fill in all fields."""
+        """Create a change."""
         self.key = key
         self.content = content
         self.revision = revision
 
 
 class Page:
-    """Part of a listing, or the changes since a revision.
+    """One page of a listing, or the changes since a revision.
 
     Attributes:
-        changes: the items.
-        revision: the store's revision at the time.
-        more: whether the listing goes on after the last item.
+        changes: the items or changes.
+        revision: the store's revision at the time of the response.
+        more: whether the listing continues after the last item.
     """
 
     __slots__ = ('changes', 'more', 'revision')
@@ -69,93 +74,99 @@
         revision: int,
         more: bool,
     ) -> None:
-        """Fill in all fields."""
+        """Create a page."""
         self.changes = changes
         self.revision = revision
         self.more = more
 
 
 def key_path(key: str) -> str:
-    """Return the path that reads one item."""
-    return f'/api/kv-key?Key={_quoted(key)}'
+    """Return the request path for one item."""
+    return f'/api/kv-key?Key={_quote(key)}'
 
 
 def page_path(prefix: str, after: str = '', stale: bool = False) -> str:
-    """Return the path that lists items.
+    """Return the request path for a page of a listing.
 
     Args:
-        prefix: how their keys begin.
-        after: the last key of the page before.
-        stale: take a cheap answer that may be seconds old.
+        prefix: prefix of the listed keys.
+        after: last key of the previous page.
+        stale: allow a cheaper response that may be seconds old.
     """
-    path = f'/api/kv-range?Prefix={_quoted(prefix)}'
+    path = f'/api/kv-range?Prefix={_quote(prefix)}'
     if after:
         # Here `after` is a key; in a watch it is a revision.
-        path = f'{path}&after={_quoted(after)}'
+        path = f'{path}&after={_quote(after)}'
     return f'{path}&StaleOk=1' if stale else path
 
 
 def changes_path(prefix: str, revision: int, wait_s: float) -> str:
-    """Return the path that waits for changes after a revision."""
+    """Return the request path that waits for changes after a revision."""
     wait_ms = int(wait_s * 1000)
     return (
-        f'/api/kv-watch?Prefix={_quoted(prefix)}'
+        f'/api/kv-watch?Prefix={_quote(prefix)}'
         f'&after={revision}&WaitMs={wait_ms}'
     )
 
 
 def read_change(body: bytes) -> Change:
-    """Decode one item.
+    """Decode the response with one item.
 
     Raises:
-        Unreadable: the body holds none.
+        Unreadable: the body is not an item.
     """
-    return _change(decode(body))
+    return _parse_change(decode(body))
 
 
 def read_page(body: bytes) -> Page:
     """Decode a page of a listing.
 
     Raises:
-        Unreadable: the body is none.
+        Unreadable: the body is not a page of a listing.
     """
     document = decode(body)
     more = bool(document.get('HasMore'))
-    return Page(_changes(document, 'items'), whole_in(document, 'At'), more)
+    return Page(
+        _parse_changes(document, 'items'), integer_field(document, 'At'), more
+    )
 
 
 def read_watch(body: bytes) -> Page:
-    """Decode the changes that a watch returned.
+    """Decode the response of a watch.
 
     Raises:
-        Unreadable: the body holds none.
+        Unreadable: the body is not a list of changes.
     """
     document = decode(body)
-    return Page(_changes(document, 'events'), whole_in(document, 'At'), False)
+    return Page(
+        _parse_changes(document, 'events'), integer_field(document, 'At'), False
+    )
 
 
-def _changes(document: dict[str, object], name: str) -> list[Change]:
+def _parse_changes(document: dict[str, object], name: str) -> list[Change]:
     rows = document.get(name)
     if not isinstance(rows, list):
-        raise Unreadable(f'{name} is no list')
-    return [_change(row) for row in rows if isinstance(row, dict)]
+        raise Unreadable(f'{name} is not a list')
+    return [_parse_change(row) for row in rows if isinstance(row, dict)]
 
 
-def _change(row: dict[str, object]) -> Change:
-    key = text_in(row, 'Key')
-    revision = whole_in(row, 'Rev')
+def _parse_change(row: dict[str, object]) -> Change:
+    key = text_field(row, 'Key')
+    revision = integer_field(row, 'Rev')
     if row.get('Removed'):
         return Change(key, None, revision)
     try:
-        content = a2b_base64(text_in(row, 'Value'), strict_mode=True)
+        content = a2b_base64(text_field(row, 'Value'), strict_mode=True)
     except Base64Error as error:
-        raise Unreadable(f'{key} holds no base64: {error}') from None
+        raise Unreadable(f'{key} holds invalid base64: {error}') from None
     return Change(key, content, revision)
 
 
-def _quoted(text: str) -> str:
-    return ''.join(char if char in _SAFE else _percent(char) for char in text)
+def _quote(text: str) -> str:
+    return ''.join(
+        char if char in _SAFE else _percent_encode(char) for char in text
+    )
 
 
-def _percent(char: str) -> str:
+def _percent_encode(char: str) -> str:
     return ''.join(f'%{byte:02X}' for byte in char.encode())
--- a/siskinbank/wire/__init__.py
+++ b/siskinbank/wire/__init__.py
@@ -1,1 +1,1 @@
-"""Typed messages between the system's processes, and how they are keyed."""
+"""Message formats between siskinbank processes, and their authentication."""
--- a/siskinbank/wire/bodies.py
+++ b/siskinbank/wire/bodies.py
@@ -1,8 +1,8 @@
-"""Bodies in numbered parts, each sender within the credit of its receiver.
+"""Transfer of bodies in numbered parts with credit-based flow control.
 
-Requests share one stream. A receiver that is slow for one of them grants it
-no more credit, so that the stream stays free for the others and memory stays
-bounded.
+Requests share one stream. A receiver that is slow on one request grants no
+more credit for it. So the stream is not blocked for the other requests, and
+memory stays bounded.
 """
 
 import asyncio
@@ -23,50 +23,59 @@
     'send_body',
 )
 
-#: The most bytes of one body that may be on their way.
+#: Maximum number of outstanding bytes of one body.
 WINDOW_BYTES = 256 * 1024
-#: The most bytes of a request's body that may come before it is admitted.
+#: Maximum number of bytes of a request's body sent before admission.
 START_BYTES = 64 * 1024
-#: The most bytes in one part.
+#: Maximum number of bytes in one part.
 CHUNK_BYTES = 64 * 1024
 
 
 class BodyCutError(Exception):
-    """A body ended before its end mark."""
+    """A body was cut before its end mark."""
 
 
 class SendWindow:
-    """The bytes of one body that may still be sent."""
+    """The credit of the sender of one body."""
 
     def __init__(self, size: int = WINDOW_BYTES) -> None:
-        """Start with credit for ``size`` bytes."""
-        self._left = size
+        """Initialize the window with a credit of ``size`` bytes."""
+        self._credit = size
         self._changed = asyncio.Event()
 
     def give(self, size: int) -> None:
-        """Add the credit that the receiver granted."""
-        self._left += max(size, 0)
+        """Add credit that the receiver granted, in bytes."""
+        self._credit += max(size, 0)
         self._changed.set()
 
-    async def take(self, wanted: int) -> int:
-        """Return how many of ``wanted`` bytes may be sent, at least one."""
-        while self._left <= 0:
+    async def reserve(self, wanted: int) -> int:
+        """Wait for credit and use up to ``wanted`` bytes of it.
+
+        Returns:
+            The number of bytes that may be sent, at least one.
+        """
+        while self._credit <= 0:
             self._changed.clear()
             await self._changed.wait()
-        taken = min(wanted, self._left)
-        self._left -= taken
-        return taken
+        reserved = min(wanted, self._credit)
+        self._credit -= reserved
+        return reserved
 
 
 class BodyReader:
-    """The parts of one body as they come in."""
+    """Receives the parts of one body."""
 
     def __init__(self, number: int, post: Callable[[Message], None]) -> None:
-        """Read the body of request ``number``; ``post`` grants credit."""
+        """Initialize the reader of a body.
+
+        Args:
+            number: the request's number.
+            post: sends a message, used to grant credit.
+        """
         self._number = number
         self._post = post
-        self._left = WINDOW_BYTES
-        self._expected = 0
+        self._credit = WINDOW_BYTES
+        self._next_part = 0
         self._parts: deque[BodyPart] = deque()
         self._changed = asyncio.Event()
         self._failure: Exception | None = None
@@ -74,36 +83,36 @@
 
     @property
     def ended(self) -> bool:
-        """Whether the end mark has come."""
+        """Whether the end mark has been received."""
         return self._ended
 
     def put(self, part: BodyPart) -> Drop | None:
-        """Take the next part; return why it is refused."""
-        if self._ended or part.part != self._expected:
+        """Add the next part; return why it is refused, or None."""
+        if self._ended or part.part != self._next_part:
             return Drop.malformed
-        if len(part.content) > self._left:
+        if len(part.content) > self._credit:
             return Drop.over_credit
-        self._left -= len(part.content)
-        self._expected += 1
+        self._credit -= len(part.content)
+        self._next_part += 1
         self._ended = part.last
         self._parts.append(part)
         self._changed.set()
         return None
 
     def fail(self, error: Exception) -> None:
-        """Let readers fail once they have read what came."""
+        """Make ``read`` fail after the parts that were received."""
         if self._failure is None and not self._ended:
             self._failure = error
             self._changed.set()
 
     async def read(self) -> bytes:
-        """Return the next bytes; none at the end of the body.
+        """Return the next bytes, or no bytes at the end of the body.
 
         Raises:
-            BodyCutError: the body will never be whole.
+            BodyCutError: the rest of the body will not be received.
         """
         while True:
-            await self._wait()
+            await self._wait_for_part()
             if not self._parts:
                 return b''
             part = self._parts.popleft()
@@ -111,8 +120,8 @@
                 self._grant(part)
                 return part.content
 
-    async def _wait(self) -> None:
-        """Wait for a part or the end."""
+    async def _wait_for_part(self) -> None:
+        """Wait for a part or the end of the body."""
         while not self._parts and not self._ended:
             if self._failure is not None:
                 raise BodyCutError(str(self._failure)) from self._failure
@@ -122,7 +131,7 @@
     def _grant(self, part: BodyPart) -> None:
         if part.last:
             return
-        self._left += len(part.content)
+        self._credit += len(part.content)
         self._post(Credit(self._number, len(part.content)))
 
 
@@ -132,19 +141,19 @@
     send: Callable[[Message], Awaitable[None]],
     window: SendWindow,
 ) -> None:
-    """Send a body in parts within the window, and its end mark.
+    """Send a body in parts within the window, then its end mark.
 
     Args:
         number: the request's number.
-        read: returns the next bytes, none at the end.
+        read: returns the next bytes, or no bytes at the end.
         send: sends one message.
-        window: the receiver's credit.
+        window: the credit granted by the receiver.
     """
     part = 0
     while chunk := await read():
         rest = memoryview(chunk)
         while rest:
-            size = await window.take(min(len(rest), CHUNK_BYTES))
+            size = await window.reserve(min(len(rest), CHUNK_BYTES))
             await send(BodyPart(number, part, False, bytes(rest[:size])))
             rest = rest[size:]
             part += 1
--- a/siskinbank/wire/checks.py
+++ b/siskinbank/wire/checks.py
@@ -1,20 +1,20 @@
-"""Checks of what messages carry inside lists."""
+"""Validation of values inside the lists of messages."""
 
 from typing import Any
 
 __all__ = ('MAX_NAME', 'is_name', 'is_number')
 
-#: The longest name of an instance or data centre.
+#: Maximum length of the name of an instance or data centre, in characters.
 MAX_NAME = 63
 
 
 def is_number(given: Any, limit: int) -> bool:
-    """Whether ``given`` is an integer from 0 to below ``limit``."""
+    """Return whether ``given`` is an integer from 0 to below ``limit``."""
     if not isinstance(given, int) or isinstance(given, bool):
         return False
     return 0 <= given < limit
 
 
 def is_name(given: Any) -> bool:
-    """Whether ``given`` may be the name of an instance or data centre."""
+    """Return whether ``given`` is a valid instance or data centre name."""
     return isinstance(given, str) and 0 < len(given) <= MAX_NAME
--- a/siskinbank/wire/envelopes.py
+++ b/siskinbank/wire/envelopes.py
@@ -1,4 +1,4 @@
-"""The header under which processes pass inner packets on."""
+"""The header of inner packets that are forwarded between processes."""
 
 import struct
 from dataclasses import dataclass
@@ -18,37 +18,37 @@
     'read_owned',
 )
 
-#: The first byte of a body that carries a packet.
+#: First byte of a datagram body that holds an envelope.
 PACKET_KIND = 1
-#: The entry does not know the owner and wants to be told.
+#: The entry does not know the owner and requests an ``Owner`` message.
 UNCACHED = 0x01
-#: The sender names the receiver as the owner; ``incarnation`` says of when.
+#: The sender considers the receiver, in the given ``incarnation``, the owner.
 NAMED = 0x02
 #: Asks the candidates whether they own the flow; the last one may admit it.
 PROBE = 0x04
-#: The candidates were asked already; whoever bears the flow may admit it.
+#: The candidates were asked already; a host with capacity may admit the flow.
 PROBED = 0x08
-#: The last candidate, which restarted, takes the flow if none owns it.
+#: The last candidate, which restarted, adopts the flow if no host owns it.
 ORPHAN = 0x10
-#: The candidates are all loaded: hosts of the whole pool are asked.
+#: All candidates are loaded, so hosts of the whole pool are asked.
 URGENT = 0x80
 
 MAX_CANDIDATES = 8
 _HOP_SHIFT = 4
-_HEAD = struct.Struct('!BBBBQQQ6s')
+_HEADER = struct.Struct('!BBBBQQQ6s')
 _SERVICE = struct.Struct('!Q')
 _SERVICE_OFFSET = 4
 _MIN_INNER_BYTES = 40
-_OWNED_BYTES = _HEAD.size + ADDRESS_BYTES + _MIN_INNER_BYTES
+_MIN_OWNED_BYTES = _HEADER.size + ADDRESS_BYTES + _MIN_INNER_BYTES
 
 
 @dataclass(slots=True)
 class Envelope:
-    """An inner packet on its way between processes.
+    """An inner packet that is forwarded between processes.
 
-    The receiver that does not own the flow passes the envelope on to the
-    candidate at ``position`` + 1. ``incarnation`` is the one of the owner as
-    the sender remembers it, or 0.
+    A receiver that does not own the flow forwards the envelope to the
+    candidate at ``position`` + 1. ``incarnation`` is the owner's incarnation
+    in the known state of the sender, or 0.
     """
 
     flags: int
@@ -62,12 +62,12 @@
     raw: bytes
 
     def pack(self) -> bytes:
-        """Return the body to seal."""
+        """Return the datagram body, which is then sealed."""
         return self.pack_head() + self.raw
 
     def pack_head(self) -> bytes:
-        """Return all of the body that precedes the inner packet."""
-        lead = _HEAD.pack(
+        """Return the part of the body before the inner packet."""
+        fixed_part = _HEADER.pack(
             PACKET_KIND,
             self.flags,
             self.hops << _HOP_SHIFT | self.position,
@@ -77,17 +77,24 @@
             self.incarnation,
             self.entry,
         )
-        return b''.join((lead, *self.candidates))
+        return b''.join((fixed_part, *self.candidates))
 
     @classmethod
     def unpack(cls, body: bytes) -> 'Envelope | None':
-        """Read an opened body; None when it is malformed."""
-        if len(body) < _HEAD.size:
+        """Decode an opened body; return None if it is malformed."""
+        if len(body) < _HEADER.size:
             return None
-        _kind, flags, place, count, service, generation, incarnation, entry = (
-            _HEAD.unpack_from(body)
-        )
-        start = _HEAD.size
+        (
+            _kind,
+            flags,
+            hops_and_position,
+            count,
+            service,
+            generation,
+            incarnation,
+            entry,
+        ) = _HEADER.unpack_from(body)
+        start = _HEADER.size
         end = start + count * ADDRESS_BYTES
         if count > MAX_CANDIDATES or end > len(body):
             return None
@@ -97,8 +104,8 @@
         )
         return cls(
             flags,
-            place >> _HOP_SHIFT,
-            place & 0xF,
+            hops_and_position >> _HOP_SHIFT,
+            hops_and_position & 0xF,
             service,
             generation,
             incarnation,
@@ -109,17 +116,18 @@
 
 
 def read_owned(body: bytes, service: int) -> tuple[bytes, bytes] | None:
-    """Return the flow and packet of a plain envelope, without unpacking it.
+    """Return the flow and packet of a plain envelope without unpacking it.
 
-    Plain means: one candidate, no flag but that of a named owner, for
-    ``service``, and an inner packet that is whole and neither opens nor ends a
-    flow. For any other body it returns None, and the envelope is unpacked.
+    An envelope is plain if it has one candidate, ``NAMED`` as its only flag
+    and the given ``service``, and if its inner packet is complete and neither
+    opens nor ends a flow. For other bodies the result is None, and the caller
+    unpacks the envelope.
     """
-    if len(body) < _OWNED_BYTES or body[1] != NAMED or body[3] != 1:
+    if len(body) < _MIN_OWNED_BYTES or body[1] != NAMED or body[3] != 1:
         return None
     if _SERVICE.unpack_from(body, _SERVICE_OFFSET)[0] != service:
         return None
-    raw = body[_HEAD.size + ADDRESS_BYTES :]
+    raw = body[_HEADER.size + ADDRESS_BYTES :]
     flow = plain_flow(raw)
     if flow is None or not is_plain_data(raw):
         return None
--- a/siskinbank/wire/flow_messages.py
+++ b/siskinbank/wire/flow_messages.py
@@ -14,9 +14,9 @@
 @message
 @dataclasses.dataclass(frozen=True, slots=True)
 class Owner(Message):
-    """Tells an entry which host owns a flow.
+    """Informs an entry which host owns a flow.
 
-    ``flow`` is its 13 bytes, ``address`` the owner's 6-byte address.
+    ``flow`` is the 13-byte flow, ``address`` the 6-byte address of the owner.
     """
 
     kind = 2
@@ -29,10 +29,11 @@
 @message
 @dataclasses.dataclass(frozen=True, slots=True)
 class Moved(Message):
-    """Tells a sidecar that the sender owns flows which rank it high.
+    """Informs a sidecar of flows that the sender owns.
 
-    ``flows`` are 64-bit flow numbers, 8 bytes each. The receiver passes their
-    packets on until the lease ends.
+    The receiver ranks high for these flows, so their packets may arrive
+    there; it forwards them to the sender until the lease ends. ``flows`` holds
+    64-bit flow numbers, 8 bytes each.
     """
 
     kind = 3
@@ -47,7 +48,7 @@
 @message
 @dataclasses.dataclass(frozen=True, slots=True)
 class Started(Message):
-    """Tells the sidecars of a service that the sender lost its memory."""
+    """Informs the sidecars of a service that the sender lost its flow table."""
 
     kind = 30
     service: int
--- a/siskinbank/wire/gossip.py
+++ b/siskinbank/wire/gossip.py
@@ -1,4 +1,4 @@
-"""Messages of the dissemination between the system's own processes."""
+"""Gossip messages between siskinbank processes."""
 
 import dataclasses
 
@@ -14,25 +14,27 @@
     'Piece',
 )
 
-#: The receiver is to answer with an announcement of its own.
+#: The sender requests an announcement in reply.
 REPLY_WANTED = 0x01
-#: The sender has itself heard from others within its lease.
+#: The sender has received messages from other processes within its lease.
 FRESH = 0x02
 
 
 @message
 @dataclasses.dataclass(frozen=True, slots=True)
 class Announce(Message):
-    """What the sender has in force and believes, as digests and news.
-
-    ``epoch`` is the sender's own life, which only grows. ``echo`` repeats the
-    ``nonce`` of the announcement that this one answers. ``digest`` is the
-    16-byte digest of the manifest in force, ``refused`` the generation and
-    digest of the newest invalid one. ``ages`` are lists of a data centre's
-    name, the milliseconds since anyone heard from it, and those since one of
-    its readers reached the platform. ``records`` and ``words`` are news of
-    instances; ``laggards`` are lists of name, generation and age in
-    milliseconds.
+    """Announces the configuration in force and the known state of the sender.
+
+    ``epoch`` is the incarnation of the sender and only increases. ``echo``
+    repeats the ``nonce`` of the announcement that this one answers.
+    ``digest`` is the 16-byte digest of the manifest in force, ``refused`` the
+    generation and digest of the newest invalid one. ``roster`` is the digest
+    of the sender's roster. ``ages`` holds lists of a data centre's name, the
+    milliseconds since any process last received a message from it, and the
+    milliseconds since one of its readers last reached the platform.
+    ``records`` and ``words`` hold changed records and announcements of
+    instances. ``laggards`` holds lists of the name, the generation and the age
+    in milliseconds of lagging processes.
     """
 
     kind = 80
@@ -54,7 +56,7 @@
 @message
 @dataclasses.dataclass(frozen=True, slots=True)
 class Ask(Message):
-    """Asks for the pieces of a compressed document from ``first`` on."""
+    """Requests the pieces of a compressed document from ``first`` on."""
 
     kind = 81
     digest: bytes
@@ -76,7 +78,7 @@
 @message
 @dataclasses.dataclass(frozen=True, slots=True)
 class Buckets(Message):
-    """The digests of all buckets of the sender's roster, one after another."""
+    """The concatenated digests of all buckets of the sender's roster."""
 
     kind = 83
     digests: bytes
@@ -85,7 +87,10 @@
 @message
 @dataclasses.dataclass(frozen=True, slots=True)
 class Bucket(Message):
-    """All records of one bucket; ``wanted`` asks for the receiver's."""
+    """All records of one roster bucket.
+
+    ``wanted`` requests the receiver's records of the bucket.
+    """
 
     kind = 84
     index: int
--- a/siskinbank/wire/headers.py
+++ b/siskinbank/wire/headers.py
@@ -1,4 +1,4 @@
-"""The HTTP headers that are read, passed on or held back."""
+"""Validation and filtering of HTTP headers and request targets."""
 
 import re
 from collections.abc import Mapping, Sequence
@@ -24,12 +24,14 @@
 TICKET_HEADER = 'Siskinbank-Ticket'
 OUTCOME_HEADER = 'Siskinbank-Outcome'
 
-#: The most headers of one request or answer, and their bytes together.
+#: Maximum number of headers of one request or response.
 MAX_HEADERS = 128
+#: Maximum size of these headers together, in bytes.
 MAX_HEADER_BYTES = 32 * 1024
 _MAX_TARGET_BYTES = 8 * 1024
 
-#: Headers that belong to one connection (RFC 9110, section 7.6.1).
+#: Hop-by-hop headers (RFC 9110, section 7.6.1), and others that apply to one
+#: connection only.
 _HOP_BY_HOP = frozenset(
     (
         'connection',
@@ -45,7 +47,7 @@
         'upgrade',
     ),
 )
-#: Headers that each hop writes anew.
+#: Headers that each hop sets itself.
 _REWRITTEN = frozenset(
     (
         DEADLINE_HEADER.lower(),
@@ -54,49 +56,51 @@
     ),
 )
 _TOKEN = re.compile("[!#$%&'*+.^_`|~0-9A-Za-z-]+")
-_FIELD_TEXT = re.compile('[\t\x20-\x7e\x80-\U0010ffff]*')
+_FIELD_VALUE = re.compile('[\t\x20-\x7e\x80-\U0010ffff]*')
 _TARGET = re.compile('(/[\x21-\x7e\x80-\U0010ffff]*|[*])')
 
 
 def is_token(text: str) -> bool:
-    """Whether a text is a token of RFC 9110, such as a method."""
+    """Return whether a text is a token (RFC 9110), such as a method."""
     return _TOKEN.fullmatch(text) is not None
 
 
 def forwarded_headers(headers: Mapping[str, str]) -> list[list[str]]:
-    """Return the headers that go beyond this connection."""
-    named = headers.get('Connection', '').lower().split(',')
-    held = _HOP_BY_HOP | _REWRITTEN | {name.strip() for name in named}
+    """Return the headers to forward, without hop-by-hop headers."""
+    connection_options = headers.get('Connection', '').lower().split(',')
+    excluded = (
+        _HOP_BY_HOP | _REWRITTEN | {name.strip() for name in connection_options}
+    )
     return [
         [name, text]
         for name, text in headers.items()
-        if name.lower() not in held
+        if name.lower() not in excluded
     ]
 
 
 def header_problem(headers: Sequence[Any]) -> str | None:
-    """Return what is wrong with headers that came in a message.
+    """Return why the headers of a received message are invalid, or None.
 
-    A peer must not smuggle what an HTTP parser would have refused: line
-    breaks, names that are no tokens, and headers of one connection.
+    A peer must not be able to inject what an HTTP parser would have refused:
+    line breaks, names that are not tokens, and hop-by-hop headers.
     """
     if len(headers) > MAX_HEADERS:
-        return f'{len(headers)} headers'
+        return f'{len(headers)} headers exceed the limit'
     size = 0
     for pair in headers:
         if not _is_pair(pair):
-            return 'a header is no pair of texts'
+            return 'header is not a pair of strings'
         name, text = pair
         size += len(name) + len(text)
-        if not is_token(name) or not _FIELD_TEXT.fullmatch(text):
+        if not is_token(name) or not _FIELD_VALUE.fullmatch(text):
             return f'bad header {name[:32]!r}'
         if name.lower() in _HOP_BY_HOP:
-            return f'header {name!r} belongs to one connection'
+            return f'header {name!r} applies to one connection'
     return f'{size} bytes of headers' if size > MAX_HEADER_BYTES else None
 
 
 def target_problem(method: str, target: str) -> str | None:
-    """Return what is wrong with a request line that came in a message."""
+    """Return why the method or target in a message is invalid, or None."""
     if not is_token(method) or method.upper() == 'CONNECT':
         return 'bad method'
     if len(target) > _MAX_TARGET_BYTES or not _TARGET.fullmatch(target):
--- a/siskinbank/wire/keyfile.py
+++ b/siskinbank/wire/keyfile.py
@@ -1,7 +1,8 @@
-"""Keys in a file that the platform mounts: read at start, and read again.
+"""Shared keys from a file that is read at start and then periodically.
 
-The environment of a running process cannot change, so keys that are to rotate
-without a restart come from a file, named as ``@/path``. It is only read.
+The environment of a running process cannot change. Keys that are rotated
+without a restart therefore come from a file that the platform mounts, given as
+``@/path``. The file is never written.
 """
 
 from pathlib import Path
@@ -13,49 +14,49 @@
 __all__ = ('MAX_FILE_BYTES', 'follow_keys', 'load_keys')
 
 MAX_FILE_BYTES = 1024
-_PREFIX = '@'
-_READ_SECONDS = 2
-_JITTER = 0.2
+_FILE_PREFIX = '@'
+_READ_INTERVAL_SECONDS = 2
+_JITTER_SHARE = 0.2
 
 
 def load_keys(text: str) -> KeyRing:
-    """Return the ring of ``ID:HEX[,ID:HEX]``, or of the file ``@/path``.
+    """Return the key ring of ``ID:HEX[,ID:HEX]`` or of the file ``@/path``.
 
     Raises:
         ValueError: the keys are malformed, or the file cannot be read.
     """
-    if not text.startswith(_PREFIX):
+    if not text.startswith(_FILE_PREFIX):
         return KeyRing(parse_keys(text))
-    source = text.removeprefix(_PREFIX)
-    ring = KeyRing(parse_keys(_read(source)))
+    source = text.removeprefix(_FILE_PREFIX)
+    ring = KeyRing(parse_keys(_read_file(source)))
     ring.source = source
     return ring
 
 
 def follow_keys(process: ProcessContext, ring: KeyRing) -> None:
-    """Read the ring's file again and again, if it has one.
+    """Start reading the file of a key ring periodically, if it has one.
 
-    Keys that cannot be read change nothing: the ones before stay valid.
+    If the file cannot be read or is malformed, the previous keys stay valid.
     """
     source = ring.source
     if source is None:
         return
     last_fault = ''
 
-    def read() -> None:
+    def reload_keys() -> None:
         nonlocal last_fault
-        fault = _refresh(process, ring, source)
+        fault = _reload_keys(process, ring, source)
         if fault and fault != last_fault:
             process.log.write(events.KEYS_BAD, fault=fault)
         last_fault = fault
 
-    process.timers.every(_READ_SECONDS, read, _JITTER)
+    process.timers.every(_READ_INTERVAL_SECONDS, reload_keys, _JITTER_SHARE)
 
 
-def _refresh(process: ProcessContext, ring: KeyRing, source: str) -> str:
-    """Take over the file's keys; return what is wrong with it, or nothing."""
+def _reload_keys(process: ProcessContext, ring: KeyRing, source: str) -> str:
+    """Apply the keys of the file; return its fault or an empty string."""
     try:
-        keys = tuple(parse_keys(_read(source)))
+        keys = tuple(parse_keys(_read_file(source)))
         if keys == ring.keys:
             return ''
         ring.replace(keys)
@@ -66,13 +67,13 @@
     return ''
 
 
-def _read(source: str) -> str:
+def _read_file(source: str) -> str:
     try:
         with Path(source).open(encoding='ascii') as opened:
             text = opened.read(MAX_FILE_BYTES + 1)
     except (OSError, UnicodeError) as error:
-        why = getattr(error, 'strerror', None) or 'not ASCII'
-        raise ValueError(f'{source}: {why}') from error
+        cause = getattr(error, 'strerror', None) or 'not ASCII'
+        raise ValueError(f'{source}: {cause}') from error
     if len(text) > MAX_FILE_BYTES:
         raise ValueError(f'{source}: more than {MAX_FILE_BYTES} bytes')
     return text.strip()
--- a/siskinbank/wire/loads.py
+++ b/siskinbank/wire/loads.py
@@ -1,4 +1,4 @@
-"""The message in which the sidecars of a pool tell each other their loads."""
+"""The load message between the sidecars of a pool."""
 
 import dataclasses
 
@@ -10,10 +10,10 @@
 @message
 @dataclasses.dataclass(frozen=True, slots=True)
 class PoolLoad(Message):
-    """Loads of hosts of one service, the sender's own first.
+    """Loads of hosts of one service; the first one is the sender's.
 
     The four lists have the same length: 64-bit host numbers, connections in
-    use, connections left, and the report's age in tenths of a second.
+    use, free connections, and the age of the report in tenths of a second.
     """
 
     kind = 60
--- a/siskinbank/wire/messages.py
+++ b/siskinbank/wire/messages.py
@@ -1,4 +1,4 @@
-"""Typed control messages, and their msgpack form."""
+"""Base class, registry and msgpack encoding of control messages."""
 
 import dataclasses
 from typing import Any, ClassVar, TypeVar
@@ -18,11 +18,11 @@
 
 
 class MessageError(ValueError):
-    """Bytes that are no message of ours."""
+    """Bytes are not a valid message."""
 
 
 class Message:
-    """Base of all messages; subclasses are frozen data classes."""
+    """Base class of all messages; subclasses are frozen data classes."""
 
     kind: ClassVar[int]
 
@@ -35,14 +35,16 @@
 
 def message(cls: MessageT) -> MessageT:
     """Register a message class under its ``kind``."""
-    known = _KINDS.setdefault(cls.kind, cls)
-    if known is not cls:
-        raise ValueError(f'{cls.__name__} has the kind of {known.__name__}')
+    message_class = _KINDS.setdefault(cls.kind, cls)
+    if message_class is not cls:
+        raise ValueError(
+            f'{cls.__name__} has the same kind as {message_class.__name__}'
+        )
     return cls
 
 
 def encode(sent: Message) -> bytes:
-    """Return the msgpack form: a list of the kind and the fields in order."""
+    """Encode a message as a msgpack list of its kind and its fields."""
     names = _field_types(type(sent))
     packed: bytes = msgpack.packb(
         [sent.kind, *(getattr(sent, name) for name in names)],
@@ -51,13 +53,13 @@
 
 
 def decode(raw: bytes) -> Message:
-    """Read one message.
+    """Decode one message.
 
     Raises:
-        MessageError: the bytes are malformed, too many, or of no known kind.
+        MessageError: the bytes are malformed, too many, or of unknown kind.
     """
     if len(raw) > MAX_MESSAGE_BYTES:
-        raise MessageError(f'{len(raw)} bytes')
+        raise MessageError(f'message of {len(raw)} bytes is too long')
     try:
         parts = msgpack.unpackb(raw)
     except (ValueError, msgpack.UnpackException) as error:
@@ -66,38 +68,42 @@
 
 
 def from_parts(parts: Any) -> Message:
-    """Make a message of an unpacked list.
+    """Create a message from an unpacked list.
 
     Raises:
-        MessageError: the list fits no message class.
+        MessageError: the list does not match a message class.
     """
     if not isinstance(parts, list) or not parts:
-        raise MessageError('not a list')
+        raise MessageError('message is not a list of kind and fields')
     kind = parts[0]
-    known = _KINDS.get(kind) if isinstance(kind, int) else None
-    if known is None:
-        raise MessageError(f'unknown kind {kind!r}')
-    _check_fields(known, parts[1:])
-    return known(*parts[1:])
+    message_class = _KINDS.get(kind) if isinstance(kind, int) else None
+    if message_class is None:
+        raise MessageError(f'unknown message kind {kind!r}')
+    _check_fields(message_class, parts[1:])
+    return message_class(*parts[1:])
 
 
-def _check_fields(known: type[Message], given: list[Any]) -> None:
-    fields = _field_types(known)
+def _check_fields(message_class: type[Message], given: list[Any]) -> None:
+    fields = _field_types(message_class)
     if len(given) != len(fields):
-        raise MessageError(f'{len(given)} fields for {known.__name__}')
+        raise MessageError(
+            f'{len(given)} fields given for {message_class.__name__}'
+        )
     for name, content in zip(fields, given, strict=True):
         allowed = fields[name]
         if not isinstance(content, allowed) or _is_bad_bool(content, allowed):
-            raise MessageError(f'{known.__name__}.{name}')
+            raise MessageError(
+                f'{message_class.__name__}.{name} has a wrong type'
+            )
 
 
-def _field_types(known: type[Message]) -> dict[str, Any]:
-    """Return the fields of a message class with their types, in order."""
-    types = _FIELDS.get(known)
+def _field_types(message_class: type[Message]) -> dict[str, Any]:
+    """Return the types of the fields of a message class, in order."""
+    types = _FIELDS.get(message_class)
     if types is None:
-        fields = dataclasses.fields(known)  # type: ignore[arg-type]
+        fields = dataclasses.fields(message_class)  # type: ignore[arg-type]
         types = {field.name: _TYPES[field.type] for field in fields}
-        _FIELDS[known] = types
+        _FIELDS[message_class] = types
     return types
 
 
--- a/siskinbank/wire/packets.py
+++ b/siskinbank/wire/packets.py
@@ -1,4 +1,4 @@
-"""Inner IPv4 packets as callers send them, and their flows."""
+"""Parsing of the inner IPv4 packets of callers, and of their flows."""
 
 import socket
 import struct
@@ -42,8 +42,8 @@
 _IP = struct.Struct('!BxHxxHxB2x4s4s')
 _PORTS = struct.Struct('!HH')
 _ADDRESS = struct.Struct('!4sH')
-_PLAIN = struct.Struct('!BxHxxHx1s2x12s')
-_PLAIN_VERSION = 0x45
+_PLAIN_HEADER = struct.Struct('!BxHxxHx1s2x12s')
+_PLAIN_VERSION_BYTE = 0x45
 _MIN_PLAIN_BYTES = _MIN_IP_BYTES + _MIN_TCP_BYTES
 _PROTOCOL_OFFSET = 9
 _PROTOCOLS = frozenset((bytes((TCP,)), bytes((UDP,))))
@@ -51,7 +51,7 @@
 
 @dataclass(slots=True)
 class InnerPacket:
-    """What the load balancer reads of a caller's packet."""
+    """The parsed header fields of a caller's packet."""
 
     raw: bytes
     protocol: int
@@ -63,14 +63,14 @@
 
     @property
     def flow(self) -> bytes:
-        """The flow's 13 bytes: addresses, ports and protocol."""
+        """The 13-byte flow: addresses, ports and protocol."""
         ports = _PORTS.pack(self.source_port, self.target_port)
         proto = bytes((self.protocol,))
         return b''.join((self.source, self.target, ports, proto))
 
     @property
     def key(self) -> int:
-        """The flow's 64-bit number, the same in every process."""
+        """The 64-bit number of the flow, the same in every process."""
         return flow_number(self.flow)
 
     @property
@@ -80,7 +80,7 @@
 
     @property
     def may_open(self) -> bool:
-        """Whether a host that does not know the flow may take it as new."""
+        """Whether a host without this flow may accept the packet as a new one."""
         return self.protocol == UDP or self.first
 
     @property
@@ -90,45 +90,47 @@
 
     @property
     def closing(self) -> bool:
-        """Whether the caller has sent all it will send."""
+        """Whether the packet has FIN set: the caller sends no more data."""
         return bool(self.flags & _FIN)
 
 
 def flow_number(flow: bytes) -> int:
-    """Return the 64-bit number under which a flow is ranked."""
+    """Return the 64-bit number of a flow, which is the key of its ranking."""
     number: int = xxhash.xxh3_64_intdigest(flow)
     return number
 
 
 def read_ends(flow: bytes) -> tuple[bytes, int]:
-    """Return the target address and port of a flow's 13 bytes."""
+    """Return the target address and port of a 13-byte flow."""
     if len(flow) != FLOW_BYTES:
         return b'', 0
     return flow[4:8], int.from_bytes(flow[10:12], 'big')
 
 
 def plain_flow(raw: bytes) -> bytes | None:
-    """Return the flow of a whole packet without options or fragments.
+    """Return the flow of a complete packet without IP options or fragments.
 
-    This is the short way for the packets that make up nearly all traffic;
-    for any other it returns None, and ``parse_inner`` judges the packet.
+    This is the fast path for nearly all traffic. For other packets it returns
+    None, and ``parse_inner`` parses them.
     """
     if not _MIN_PLAIN_BYTES <= len(raw) <= MAX_PACKET_BYTES:
         return None
-    version, length, fragment, protocol, ends = _PLAIN.unpack_from(raw)
-    if version != _PLAIN_VERSION or fragment & _FRAGMENT_MASK:
+    version, length, fragment, protocol, endpoints = _PLAIN_HEADER.unpack_from(
+        raw
+    )
+    if version != _PLAIN_VERSION_BYTE or fragment & _FRAGMENT_MASK:
         return None
     if length != len(raw) or protocol not in _PROTOCOLS:
         return None
-    flow: bytes = ends + protocol
+    flow: bytes = endpoints + protocol
     return flow
 
 
 def parse_inner(raw: bytes) -> InnerPacket | None:
-    """Read an IPv4 packet with TCP or UDP inside.
+    """Parse an IPv4 packet that contains TCP or UDP.
 
     Returns:
-        The packet, or None when it is cut short, fragmented or of another
+        The packet, or None if it is truncated, fragmented or of another
         protocol.
     """
     if len(raw) < _MIN_IP_BYTES + _MIN_UDP_BYTES:
@@ -159,18 +161,21 @@
 
 
 def pack_address(address: Address) -> bytes:
-    """Return an address as 6 bytes."""
+    """Return the 6-byte form of an address."""
     return _ADDRESS.pack(socket.inet_aton(address[0]), address[1])
 
 
 def unpack_address(raw: bytes) -> Address:
-    """Return the address that 6 bytes stand for."""
+    """Return the address of its 6-byte form."""
     number, port = _ADDRESS.unpack(raw)
     return socket.inet_ntoa(number), port
 
 
 def is_plain_data(raw: bytes) -> bool:
-    """Whether a packet with a ``plain_flow`` neither opens nor ends it."""
+    """Return whether a packet neither opens nor ends its flow.
+
+    The packet must have a ``plain_flow``.
+    """
     if raw[_PROTOCOL_OFFSET] != TCP:
         return True
     return not raw[_MIN_IP_BYTES + _TCP_FLAGS_OFFSET] & (_FIN | _SYN | _RST)
--- a/siskinbank/wire/request_messages.py
+++ b/siskinbank/wire/request_messages.py
@@ -1,4 +1,4 @@
-"""Messages of streams: tunnels, requests and their answers."""
+"""Messages on streams: tunnels, requests and responses."""
 
 import dataclasses
 
@@ -28,7 +28,7 @@
 @message
 @dataclasses.dataclass(frozen=True, slots=True)
 class OpenTunnel(Message):
-    """Asks a sidecar to take one plain TCP connection."""
+    """Asks a sidecar to accept one plain TCP connection."""
 
     kind = 10
     service: int
@@ -38,7 +38,7 @@
 @message
 @dataclasses.dataclass(frozen=True, slots=True)
 class TunnelOpened(Message):
-    """The sidecar has connected; bytes follow both ways."""
+    """The sidecar has connected; bytes follow in both directions."""
 
     kind = 11
 
@@ -46,7 +46,10 @@
 @message
 @dataclasses.dataclass(frozen=True, slots=True)
 class Refused(Message):
-    """The work with this number was not run and will not be."""
+    """The request with this number was not run and will not be run.
+
+    ``retry_after`` is in seconds.
+    """
 
     kind = 12
     number: int
@@ -57,7 +60,7 @@
 @message
 @dataclasses.dataclass(frozen=True, slots=True)
 class OpenRequests(Message):
-    """Starts a stream of numbered requests."""
+    """Opens a stream of numbered requests."""
 
     kind = 13
     sender: str
@@ -68,9 +71,9 @@
 class RequestHead(Message):
     """Starts one request.
 
-    ``due`` is the deadline in seconds on the sidecar's own clock, for the
-    answer's end if ``bounded``, else for its start; ``length`` is the size of
-    the body in bytes, -1 when the caller did not say it.
+    ``due`` is the deadline in seconds on the sidecar's clock. It applies to
+    the end of the response if ``bounded``, else to its start. ``length`` is
+    the size of the body in bytes, -1 if the caller did not declare it.
     """
 
     kind = 14
@@ -102,10 +105,10 @@
 @message
 @dataclasses.dataclass(frozen=True, slots=True)
 class AnswerHead(Message):
-    """Starts one answer; the body's parts follow.
+    """Starts one response; the parts of its body follow.
 
-    ``length`` is the declared size of the body, -1 when it is not known;
-    ``clock`` is the sidecar's clock in seconds.
+    ``length`` is the declared size of the body in bytes, -1 if it is not
+    known. ``clock`` is the sidecar's clock in seconds.
     """
 
     kind = 16
@@ -119,9 +122,9 @@
 @message
 @dataclasses.dataclass(frozen=True, slots=True)
 class Failed(Message):
-    """The request may have run; its answer cannot be had.
+    """The request may have run, but its response is not available.
 
-    ``retry_after`` is in seconds, 0 when asking again does not help.
+    ``retry_after`` is in seconds, 0 if a retry does not help.
     """
 
     kind = 17
@@ -133,7 +136,7 @@
 @message
 @dataclasses.dataclass(frozen=True, slots=True)
 class Cancel(Message):
-    """Nobody waits for this request any more."""
+    """The response to this request is no longer needed."""
 
     kind = 18
     number: int
@@ -142,9 +145,9 @@
 @message
 @dataclasses.dataclass(frozen=True, slots=True)
 class LinkOpened(Message):
-    """The sidecar's answer to ``OpenRequests``.
+    """The sidecar's reply to ``OpenRequests``.
 
-    ``clock`` is the sidecar's clock in seconds when this was sent.
+    ``clock`` is the sidecar's clock in seconds at the time of sending.
     """
 
     kind = 40
@@ -156,7 +159,7 @@
 @message
 @dataclasses.dataclass(frozen=True, slots=True)
 class Credit(Message):
-    """The sender of a body may send ``size`` bytes more of it."""
+    """Grants the sender of a body ``size`` more bytes."""
 
     kind = 41
     number: int
@@ -166,7 +169,7 @@
 @message
 @dataclasses.dataclass(frozen=True, slots=True)
 class GoAway(Message):
-    """The sidecar stops: requests above ``last`` were not and won't be run."""
+    """The sidecar stops; requests above ``last`` did not run and will not."""
 
     kind = 42
     last: int
@@ -175,7 +178,7 @@
 @message
 @dataclasses.dataclass(frozen=True, slots=True)
 class IssueTicket(Message):
-    """Asks for a ticket that lets one request run here once."""
+    """Requests a ticket that allows one request to run here once."""
 
     kind = 43
     number: int
@@ -186,7 +189,7 @@
 @message
 @dataclasses.dataclass(frozen=True, slots=True)
 class TicketIssued(Message):
-    """A ticket, and the seconds for which it is good."""
+    """A ticket and its validity in seconds."""
 
     kind = 44
     number: int
@@ -197,7 +200,7 @@
 @message
 @dataclasses.dataclass(frozen=True, slots=True)
 class Ping(Message):
-    """Asks for a sign of life; it comes back as it is."""
+    """Checks that the peer responds; it returns the message unchanged."""
 
     kind = 47
     number: int
@@ -206,7 +209,7 @@
 @message
 @dataclasses.dataclass(frozen=True, slots=True)
 class FenceKey(Message):
-    """Asks a former home of a key never to run it from now on."""
+    """Asks a former primary host of a key not to run the key any more."""
 
     kind = 45
     number: int
@@ -217,7 +220,7 @@
 @message
 @dataclasses.dataclass(frozen=True, slots=True)
 class KeyFenced(Message):
-    """The key did not run here in this life, and will not."""
+    """The key did not run here in this incarnation and will not run."""
 
     kind = 46
     number: int
--- a/siskinbank/wire/streams.py
+++ b/siskinbank/wire/streams.py
@@ -1,8 +1,8 @@
-"""Messages over a byte stream, each behind its length and its number.
+"""Framing of messages on a byte stream, with length and sequence number.
 
-The number counts the messages of one direction from 0. A message that comes
-twice or late is dropped; a gap means that a message was lost, and ends the
-stream. So nothing above this layer ever sees a doubled or reordered message.
+The sequence number counts the messages of one direction from 0. A message that
+arrives twice or late is dropped. A gap means that a message was lost and ends
+the stream. So higher layers never receive duplicate or reordered messages.
 """
 
 import asyncio
@@ -18,8 +18,8 @@
 
 __all__ = ('MessageStream',)
 
-#: Length of the message in bytes, and its number.
-_LEAD = struct.Struct('!IQ')
+#: Length of the message in bytes, and its sequence number.
+_HEADER = struct.Struct('!IQ')
 
 
 class MessageStream:
@@ -30,7 +30,7 @@
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
-        """Take over an open connection."""
+        """Initialize the stream on an open connection."""
         self.reader = reader
         self.writer = writer
         self.dropped = 0
@@ -38,13 +38,13 @@
         self._next_received = 0
 
     def post(self, sent: Message) -> None:
-        """Write one message without waiting, for short and rare ones."""
+        """Write one message without waiting; for short and rare messages."""
         raw = encode(sent)
-        self.writer.write(_LEAD.pack(len(raw), self._next_sent) + raw)
+        self.writer.write(_HEADER.pack(len(raw), self._next_sent) + raw)
         self._next_sent += 1
 
     async def send(self, sent: Message) -> None:
-        """Write one message and wait while the receiver is slow."""
+        """Write one message and wait until the write buffer has drained."""
         self.post(sent)
         await self.writer.drain()
 
@@ -52,43 +52,45 @@
         """Return the next message, or None at the end of the stream.
 
         Raises:
-            MessageError: the bytes are no message, a message is missing, or
-                the stream was cut inside one.
+            MessageError: the bytes are not a message, a message is missing, or
+                the stream ended inside a message.
         """
         while True:
-            lead = await self._read_lead()
-            if lead is None:
+            header = await self._read_header()
+            if header is None:
                 return None
-            raw = await self._read_body(lead[0])
-            if lead[1] > self._next_received:
+            raw = await self._read_body(header[0])
+            if header[1] > self._next_received:
                 raise MessageError(f'message {self._next_received} is missing')
-            if lead[1] == self._next_received:
+            if header[1] == self._next_received:
                 self._next_received += 1
                 return decode(raw)
             self.dropped += 1
 
     async def close(self) -> None:
-        """Close the connection; errors of a lost link are no news here."""
+        """Close the connection; errors of a lost connection are ignored."""
         self.writer.close()
         try:
             await self.writer.wait_closed()
         except OSError:
             return
 
-    async def _read_lead(self) -> tuple[int, int] | None:
+    async def _read_header(self) -> tuple[int, int] | None:
         try:
-            lead = await self.reader.readexactly(_LEAD.size)
+            header = await self.reader.readexactly(_HEADER.size)
         except asyncio.IncompleteReadError as error:
             if error.partial:
-                raise MessageError('cut inside a length') from error
+                raise MessageError(
+                    'stream was cut inside the length of a message'
+                ) from error
             return None
-        size, number = _LEAD.unpack(lead)
+        size, number = _HEADER.unpack(header)
         if size > MAX_MESSAGE_BYTES:
-            raise MessageError(f'{size} bytes')
+            raise MessageError(f'message of {size} bytes is too long')
         return size, number
 
     async def _read_body(self, size: int) -> bytes:
         try:
             return await self.reader.readexactly(size)
         except asyncio.IncompleteReadError as error:
-            raise MessageError('cut inside a message') from error
+            raise MessageError('stream was cut inside a message') from error
--- a/siskinbank/wire/tls.py
+++ b/siskinbank/wire/tls.py
@@ -1,10 +1,10 @@
-"""TLS with mutual authentication between the system's own processes.
+"""Mutual TLS authentication between siskinbank processes.
 
-Each shared key stands for one certificate: its Ed25519 private key is derived
-from the shared key with keyed BLAKE2b, and the self-signed certificate holds
-nothing else that varies. So every process makes the same certificate from the
-same key, trusts just the certificates of the keys that are valid now, and
-proves with its own that it holds one of them.
+Each shared key has one self-signed certificate. Its Ed25519 private key is
+derived from the shared key with keyed BLAKE2b, and nothing else in the
+certificate varies. So every process creates the same certificate from the same
+key. A process trusts only the certificates of the currently valid keys, and its
+own certificate proves that it has one of these keys.
 """
 
 import contextlib
@@ -20,26 +20,26 @@
 
 __all__ = ('StreamSecurity', 'certificate_of')
 
-_PERSON = b'siskinbank-tls'
+_SEED_PERSON = b'siskinbank-tls'
 _SEED_BYTES = 32
 _COMMON_NAME = 'siskinbank'
-_FIRST_DAY = datetime.datetime(2000, 1, 1, tzinfo=datetime.UTC)
-#: The last second that certificates can name (RFC 5280, section 4.1.2.5).
-_LAST_DAY = datetime.datetime(9999, 12, 31, 23, 59, 59, tzinfo=datetime.UTC)
+_NOT_BEFORE = datetime.datetime(2000, 1, 1, tzinfo=datetime.UTC)
+#: Latest date that a certificate can hold (RFC 5280, section 4.1.2.5).
+_NOT_AFTER = datetime.datetime(9999, 12, 31, 23, 59, 59, tzinfo=datetime.UTC)
 
 RefusalHandler = Callable[[str], None]
 
 
 class _ServerObject(ssl.SSLObject):
-    """The server's side of one connection; it tells of a failed handshake."""
+    """Server side of one connection, which reports a failed handshake."""
 
     on_refusal: RefusalHandler | None = None
 
     def do_handshake(self) -> None:
-        """Go on with the handshake.
+        """Continue the handshake.
 
         Raises:
-            ssl.SSLError: more bytes are needed, or the other side is refused.
+            ssl.SSLError: more bytes are needed, or the peer is refused.
         """
         try:
             super().do_handshake()
@@ -51,27 +51,27 @@
             raise
 
 
-class _CurrentContext(ssl.SSLContext):
-    """Wraps each new connection with the keys that are valid then."""
+class _ReloadingContext(ssl.SSLContext):
+    """Server context that uses the keys valid at the time of each connection."""
 
     security: 'StreamSecurity'
 
     def wrap_bio(self, *given: Any, **options: Any) -> ssl.SSLObject:
-        """Return the TLS side of one connection."""
-        current = self.security.server_now()
-        wrapped = current.wrap_bio(*given, **options)
+        """Return the TLS object of one connection."""
+        context = self.security.current_server()
+        wrapped = context.wrap_bio(*given, **options)
         assert isinstance(wrapped, _ServerObject)
         wrapped.on_refusal = self.security.on_refusal
         return wrapped
 
 
 class StreamSecurity:
-    """The TLS contexts of one process, made of its key ring."""
+    """The TLS contexts of one process, created from its key ring."""
 
     def __init__(self, keys: KeyRing) -> None:
-        """Follow ``keys``; contexts are made anew when they change."""
+        """Initialize for ``keys``; contexts are recreated when they change."""
         self._keys = keys
-        self._made_of: tuple[Key, ...] = ()
+        self._context_keys: tuple[Key, ...] = ()
         self._server: ssl.SSLContext | None = None
         self._client: ssl.SSLContext | None = None
         self.on_refusal: RefusalHandler = _ignore
@@ -84,35 +84,35 @@
         return self._client
 
     def server(self) -> ssl.SSLContext:
-        """Return a context to listen with; it follows the key ring."""
-        context = _CurrentContext(ssl.PROTOCOL_TLS_SERVER)
+        """Return a context to listen with; it uses the current keys."""
+        context = _ReloadingContext(ssl.PROTOCOL_TLS_SERVER)
         context.security = self
         return context
 
-    def server_now(self) -> ssl.SSLContext:
-        """Return the server's context for the keys that are valid now."""
+    def current_server(self) -> ssl.SSLContext:
+        """Return the server context for the currently valid keys."""
         self._refresh()
         assert self._server is not None
         return self._server
 
     def _refresh(self) -> None:
-        if self._made_of == self._keys.keys:
+        if self._context_keys == self._keys.keys:
             return
         self._server = _make_context(ssl.PROTOCOL_TLS_SERVER, self._keys.keys)
         self._server.sslobject_class = _ServerObject
         self._server.num_tickets = 0
         self._client = _make_context(ssl.PROTOCOL_TLS_CLIENT, self._keys.keys)
-        self._made_of = self._keys.keys
+        self._context_keys = self._keys.keys
 
 
 def _ignore(_reason: str) -> None:
-    """Tell nobody."""
+    """Ignore a refusal; the default handler."""
 
 
 def _make_context(protocol: int, keys: tuple[Key, ...]) -> ssl.SSLContext:
-    """Return a context that shows the first key's certificate.
+    """Return a context that presents the first key's certificate.
 
-    Certificates of all keys are trusted, and nothing else is.
+    Only the certificates of the given keys are trusted.
     """
     context = ssl.SSLContext(protocol)
     context.check_hostname = False
@@ -129,25 +129,25 @@
     certificate: bytes,
     private_key: bytes,
 ) -> None:
-    """Load a certificate from memory; the library takes files only."""
-    number = os.memfd_create('certificate', os.MFD_CLOEXEC)
-    with contextlib.closing(os.fdopen(number, 'wb')) as held:
-        held.write(certificate + private_key)
-        held.flush()
-        context.load_cert_chain(f'/proc/self/fd/{number}')
+    """Load a certificate from memory; the library reads files only."""
+    descriptor = os.memfd_create('certificate', os.MFD_CLOEXEC)
+    with contextlib.closing(os.fdopen(descriptor, 'wb')) as stream:
+        stream.write(certificate + private_key)
+        stream.flush()
+        context.load_cert_chain(f'/proc/self/fd/{descriptor}')
 
 
 @functools.lru_cache(maxsize=4)
 def certificate_of(key: Key) -> tuple[bytes, bytes]:
     """Return the certificate and private key of a shared key, both in PEM."""
-    # Imported on first use: commands without streams stay small.
+    # Imported on first use to save memory in commands without streams.
     from cryptography import x509
     from cryptography.hazmat.primitives import serialization
     from cryptography.hazmat.primitives.asymmetric import ed25519
 
     seed = hashlib.blake2b(
         key=key.secret,
-        person=_PERSON,
+        person=_SEED_PERSON,
         digest_size=_SEED_BYTES,
     ).digest()
     private = ed25519.Ed25519PrivateKey.from_private_bytes(seed)
@@ -161,8 +161,8 @@
         .issuer_name(name)
         .public_key(public)
         .serial_number(key.ident + 1)
-        .not_valid_before(_FIRST_DAY)
-        .not_valid_after(_LAST_DAY)
+        .not_valid_before(_NOT_BEFORE)
+        .not_valid_after(_NOT_AFTER)
     )
     certificate = (
         builder.add_extension(
--- a/tests/platform/test_packets.py
+++ b/tests/platform/test_packets.py
@@ -1,4 +1,4 @@
-"""Tests of the head of a packet."""
+"""Tests of packet headers."""
 
 import unittest
 
@@ -27,7 +27,7 @@
 
 CLIENT = ('100.64.0.7', 40001)
 SERVICE = ('198.18.0.1', 443)
-# The example of the platform's page for the format.
+# The example in the platform's description of the packet format.
 EXAMPLE = bytes.fromhex(
     'a1b2c3d5112233440000000004644000 07c61200019c4101bb000000000000'.replace(
         ' ', ''
@@ -39,43 +39,43 @@
 
 
 class TestHead(unittest.TestCase):
-    """Reading and writing."""
+    """Reading and writing of packet headers."""
 
-    def test_the_published_example(self) -> None:
-        """A SYN, and the reset that answers it."""
+    def test_published_example(self) -> None:
+        """A SYN is decoded, and its reset matches the example."""
         self.assertIsNone(problem_of(EXAMPLE))
         packet = Packet.read(EXAMPLE)
         self.assertEqual((packet.source, packet.target), (CLIENT, SERVICE))
         self.assertEqual((packet.flags, packet.number), (SYN, 0x11223344))
         self.assertEqual(reset_for(EXAMPLE), EXAMPLE_RESET)
 
-    def test_both_ways_name_one_flow(self) -> None:
-        """A host's packet has the key of the client's."""
-        there = Packet(CLIENT, SERVICE, ACK).write()
-        back = Packet(SERVICE, CLIENT, ACK).write()
-        key = there[FLOW_KEY]
-        self.assertEqual(answer_key(back), key)
+    def test_both_directions_have_one_flow_key(self) -> None:
+        """A host's packet has the flow key of the client's packets."""
+        from_client = Packet(CLIENT, SERVICE, ACK).write()
+        from_host = Packet(SERVICE, CLIENT, ACK).write()
+        key = from_client[FLOW_KEY]
+        self.assertEqual(answer_key(from_host), key)
         self.assertEqual(client_address(key), CLIENT[0])
         self.assertEqual(route_key(key), bytes((198, 18, 0, 1, 1, 187)))
         self.assertEqual(describe(key), '100.64.0.7:40001-198.18.0.1:443')
 
-    def test_a_reset_repeats_what_the_client_acknowledged(self) -> None:
-        """Clients take it only near that number."""
+    def test_reset_repeats_acknowledged_number(self) -> None:
+        """Clients accept a reset only near the number they acknowledged."""
         raw = Packet(CLIENT, SERVICE, ACK, 5, 0xFFFFFFF0, b'data').write()
         reset = Packet.read(reset_for(raw))
         self.assertEqual((reset.flags, reset.number), (RST, 0xFFFFFFF0))
         self.assertEqual((reset.source, reset.target), (SERVICE, CLIENT))
         self.assertEqual((reset.checksum, reset.content), (0, b''))
 
-    def test_a_bounced_packet_becomes_the_client_s_again(self) -> None:
-        """Only the mark is taken off."""
+    def test_not_bounced_clears_the_flag(self) -> None:
+        """Only the bounced flag is removed from the packet."""
         raw = Packet(CLIENT, SERVICE, ACK, 5, 6, b'data').write()
         bounced = bytearray(raw)
         bounced[12] |= BOUNCED
         self.assertEqual(not_bounced(bytes(bounced)), raw)
 
-    def test_what_cannot_be_a_client_s(self) -> None:
-        """Each for its reason."""
+    def test_invalid_client_packets(self) -> None:
+        """Each invalid packet is refused with its reason."""
         good = Packet(CLIENT, SERVICE, ACK, content=b'data').write()
         for problem, raw in (
             ('short', b''),
@@ -89,8 +89,8 @@
             with self.subTest(problem=problem, raw=raw):
                 self.assertEqual(problem_of(raw), problem)
 
-    def test_what_clients_send(self) -> None:
-        """All their flags pass."""
+    def test_valid_client_flags(self) -> None:
+        """All flags that clients use are valid."""
         for flags in (0, SYN, ACK, FIN | ACK, RST, RST | ACK):
             with self.subTest(flags=flags):
                 packet = Packet(CLIENT, SERVICE, flags).write()
@@ -98,7 +98,7 @@
 
     @given(st.binary(max_size=1300))
     def test_any_datagram(self, raw: bytes) -> None:
-        """What passes can be worked on."""
+        """A datagram that is valid can be processed further."""
         if problem_of(raw) is None:
             describe(raw[FLOW_KEY])
             reset_for(raw)
@@ -107,10 +107,10 @@
 
 
 class TestContent(unittest.TestCase):
-    """What a sidecar reads of the requests inside."""
+    """Reading of HTTP requests and responses in packets."""
 
     def test_requests_and_answers(self) -> None:
-        """Begin of a request with its id, begin of an answer."""
+        """The start of a request with its id, and of a response."""
         raw = Packet(CLIENT, SERVICE, ACK, content=request_bytes('r7')).write()
         self.assertTrue(begins_request(raw))
         self.assertEqual(request_id(raw), 'r7')
@@ -121,7 +121,7 @@
         self.assertTrue(found and found.executed)
 
     def test_other_content(self) -> None:
-        """The middle of a body begins nothing."""
+        """Data inside a body starts neither a request nor a response."""
         raw = Packet(CLIENT, SERVICE, ACK, content=b'xx POST').write()
         self.assertFalse(begins_request(raw))
         self.assertIsNone(read_answer(raw))
--- a/tests/platform/test_records.py
+++ b/tests/platform/test_records.py
@@ -1,4 +1,4 @@
-"""Tests of what hosts and operators write."""
+"""Tests of host entries and the operator's configuration."""
 
 import json
 import unittest
@@ -31,16 +31,16 @@
 )
 
 
-def changed(**fields: Any) -> bytes:
-    """Return the entry with fields of its document changed."""
+def changed_entry(**fields: Any) -> bytes:
+    """Return the entry with some fields changed."""
     return json.dumps({**json.loads(ENTRY.encode()), **fields}).encode()
 
 
 class TestHost(unittest.TestCase):
-    """Entries of hosts, and of other writers."""
+    """Decoding of host entries."""
 
     def test_all_fields(self) -> None:
-        """Each says what it holds."""
+        """All fields are decoded."""
         record = decode_host(ENTRY.encode())
         self.assertEqual(record.service, 'matcher')
         self.assertEqual(record.ip, '10.0.0.9')
@@ -48,49 +48,49 @@
         self.assertEqual((record.slots, record.born_ms), (3, 7))
         self.assertEqual((record.draining, record.cold_s), (False, 1.5))
 
-    def test_what_names_no_host(self) -> None:
-        """Fields of another type, unknown states, no document at all."""
+    def test_invalid_host_records(self) -> None:
+        """Wrong types, unknown states and invalid documents are refused."""
         for raw in (
             b'',
             b'\xff',
             b'{',
             b'7',
-            changed(Service=None),
-            changed(Slots='3'),
-            changed(Slots=True),
-            changed(Slots=-1),
-            changed(born=-1),
-            changed(born=1 << 70),
-            changed(WarmupLeftMs=float('nan')),
-            changed(WarmupLeftMs=float('inf')),
-            changed(State='asleep'),
-            changed(Address='here'),
-            changed(Address='10.0.0:80'),
-            changed(Address='x:80'),
-            changed(WarmupLeftMs='soon'),
-            changed(born=1.5),
-            changed(Zone=[]),
+            changed_entry(Service=None),
+            changed_entry(Slots='3'),
+            changed_entry(Slots=True),
+            changed_entry(Slots=-1),
+            changed_entry(born=-1),
+            changed_entry(born=1 << 70),
+            changed_entry(WarmupLeftMs=float('nan')),
+            changed_entry(WarmupLeftMs=float('inf')),
+            changed_entry(State='asleep'),
+            changed_entry(Address='here'),
+            changed_entry(Address='10.0.0:80'),
+            changed_entry(Address='x:80'),
+            changed_entry(WarmupLeftMs='soon'),
+            changed_entry(born=1.5),
+            changed_entry(Zone=[]),
         ):
             with self.subTest(raw=raw), self.assertRaises(Unreadable):
                 decode_host(raw)
 
-    def test_more_slots_than_can_be(self) -> None:
-        """They are counted as the most that there are."""
-        self.assertEqual(decode_host(changed(Slots=10**9)).slots, 65535)
+    def test_slots_are_capped(self) -> None:
+        """A higher number of slots is capped at the maximum."""
+        self.assertEqual(decode_host(changed_entry(Slots=10**9)).slots, 65535)
 
     @given(st.binary() | JSON.map(lambda value: json.dumps(value).encode()))
-    def test_anything_else(self, raw: bytes) -> None:
-        """It is read or refused, never more."""
+    def test_any_input(self, raw: bytes) -> None:
+        """Any input is decoded or raises Unreadable."""
         for read in (decode, decode_host, decode_configuration):
             with suppress(Unreadable):
                 read(raw)
 
 
 class TestConfiguration(unittest.TestCase):
-    """The operator's document."""
+    """Decoding of the operator's configuration."""
 
     def test_routes_by_address_and_port(self) -> None:
-        """As they lie in a flow's key."""
+        """Routes are keyed by address and port as in a flow key."""
         raw = encode_configuration(
             9,
             [RouteEntry('matcher', ('198.18.0.1', 443), 1.5, repeatable=False)],
@@ -105,7 +105,7 @@
         self.assertEqual(warmths['matcher'].per_s, 4)
 
     def test_shares_follow_their_weights(self) -> None:
-        """Over all draws; a share of no weight gets nothing."""
+        """Draws follow the weights; a service of weight 0 gets none."""
         document = json.loads(
             encode_configuration(1, [RouteEntry('a', ('1.2.3.4', 80))]),
         )
@@ -122,8 +122,8 @@
         self.assertAlmostEqual(draws.count('a') / len(draws), 0.9, places=3)
         self.assertAlmostEqual(draws.count('b') / len(draws), 0.1, places=3)
 
-    def test_what_is_not_whole(self) -> None:
-        """None of it holds."""
+    def test_invalid_configurations(self) -> None:
+        """A configuration with any malformed part is refused."""
         good = json.loads(
             encode_configuration(1, [RouteEntry('a', ('1.2.3.4', 80))]),
         )
--- a/tests/platform/test_settings.py
+++ b/tests/platform/test_settings.py
@@ -22,16 +22,16 @@
 
 
 class TestSettings(unittest.TestCase):
-    """From the file to fields."""
+    """Decoding of the settings file."""
 
     def setUp(self) -> None:
-        """Have a place for the file."""
+        """Create a temporary directory for the file."""
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.path = Path(folder.name, 'boot.json')
 
-    def test_a_sidecar_s(self) -> None:
-        """All that it needs; unknown fields are ignored."""
+    def test_sidecar_settings(self) -> None:
+        """All fields of a sidecar are read; unknown fields are ignored."""
         self.path.write_bytes(SETTINGS.encode())
         settings = read_settings(str(self.path))
         self.assertEqual(settings.instance, 'side-1')
@@ -44,16 +44,16 @@
         self.assertEqual(settings.store, ('10.9.9.9', 8169))
         self.assertEqual(settings.heartbeat_s, 0.8)
 
-    def test_seeds_may_come_late(self) -> None:
-        """None is no mistake."""
+    def test_seeds_are_optional(self) -> None:
+        """Settings without usable seeds are valid."""
         document = json.loads(SETTINGS.encode())
         for seeds in (None, [], 'later'):
             document['Seeds'] = seeds
             self.path.write_text(json.dumps(document))
             self.assertEqual(read_settings(str(self.path)).seeds, ())
 
-    def test_what_makes_no_sense(self) -> None:
-        """The message says which field."""
+    def test_invalid_fields(self) -> None:
+        """A malformed field is refused."""
         document = json.loads(SETTINGS.encode())
         for field, content in (
             ('Ip', 7),
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -1,4 +1,4 @@
-"""Tests of calls to the store and of its answers."""
+"""Tests of calls to the store and of its responses."""
 
 import json
 import unittest
@@ -18,10 +18,10 @@
 
 
 class TestPaths(unittest.TestCase):
-    """What is asked, as the store reads it."""
+    """Request paths, decoded as the store does."""
 
     def test_listing(self) -> None:
-        """With the key to go on after, escaped."""
+        """A listing continues after an escaped key."""
         call = read_call(page_path(HOSTS, 'servers/a b&c=ä', stale=True))
         self.assertEqual(call.kind, 'list')
         self.assertEqual(call.prefix, HOSTS)
@@ -30,7 +30,7 @@
         self.assertFalse(read_call(page_path(HOSTS)).stale)
 
     def test_one_item(self) -> None:
-        """By its key; the answer is that item."""
+        """One item is requested by its key and decoded."""
         call = read_call(key_path('op/config'))
         self.assertEqual((call.kind, call.prefix), ('read', 'op/config'))
         item = Item('op/config', b'{}', 7).document()
@@ -39,17 +39,17 @@
         self.assertEqual(change.revision, 7)
 
     def test_watch(self) -> None:
-        """With a revision, and whole milliseconds to wait."""
+        """A watch has a revision and a wait in whole milliseconds."""
         call = read_call(changes_path(OPERATOR, 41, 1.0004))
         self.assertEqual((call.kind, call.after), ('watch', '41'))
         self.assertEqual(call.wait_s, 1)
 
 
 class TestAnswers(unittest.TestCase):
-    """What comes back."""
+    """Decoding of responses."""
 
     def test_pages(self) -> None:
-        """Items, whether there are more, and the store's revision."""
+        """A page has items, the revision and whether there are more items."""
         items = [Item('op/x', b'\x00\xff', 4), Item('op/y', None, 5)]
         page = read_page(encode_page(items, 9, more=True))
         self.assertEqual((page.revision, page.more), (9, True))
@@ -57,12 +57,12 @@
         self.assertEqual(found, [('op/x', b'\x00\xff', 4), ('op/y', None, 5)])
 
     def test_watch(self) -> None:
-        """Changes, or none."""
+        """A watch may return no changes."""
         page = read_watch(encode_page([], 9, watch=True))
         self.assertEqual((page.changes, page.revision), ([], 9))
 
-    def test_what_is_no_answer(self) -> None:
-        """Each is refused as a whole."""
+    def test_invalid_pages(self) -> None:
+        """A response with any malformed part is refused."""
         for body in (
             b'',
             b'{}',
--- a/tests/wire/test_bodies.py
+++ b/tests/wire/test_bodies.py
@@ -1,4 +1,4 @@
-"""Tests of bodies in parts, within credit."""
+"""Tests of body transfer with credit-based flow control."""
 
 import asyncio
 import unittest
@@ -19,29 +19,29 @@
 
 
 class TestBodies(unittest.IsolatedAsyncioTestCase):
-    """Sender and reader."""
+    """Sending and reading of bodies."""
 
     async def test_large_body_within_the_window(self) -> None:
-        """A body of many windows comes whole, and never too much of it."""
+        """A body larger than the window arrives complete, within credit."""
         window = SendWindow()
-        waiting = 0
+        pending = 0
 
         def grant(sent: Message) -> None:
-            nonlocal waiting
+            nonlocal pending
             assert isinstance(sent, Credit)
-            waiting -= sent.size
+            pending -= sent.size
             window.give(sent.size)
 
         reader = BodyReader(NUMBER, grant)
-        most = 0
+        max_pending = 0
 
         async def deliver(sent: Message) -> None:
-            nonlocal waiting, most
+            nonlocal pending, max_pending
             assert isinstance(sent, BodyPart)
             self.assertLessEqual(len(sent.content), CHUNK_BYTES)
             self.assertIsNone(reader.put(sent))
-            waiting += len(sent.content)
-            most = max(most, waiting)
+            pending += len(sent.content)
+            max_pending = max(max_pending, pending)
 
         chunks = [*(bytes(WINDOW_BYTES) for _ in range(5)), b'end', b'']
 
@@ -56,11 +56,11 @@
             size += len(part)
         await sender
         self.assertEqual(size, 5 * WINDOW_BYTES + 3)
-        self.assertLessEqual(most, WINDOW_BYTES)
+        self.assertLessEqual(max_pending, WINDOW_BYTES)
         self.assertTrue(reader.ended)
 
-    async def test_refuses_what_does_not_fit(self) -> None:
-        """Doubled, skipped and oversized parts, and parts after the end."""
+    async def test_invalid_parts_are_refused(self) -> None:
+        """Duplicate, skipped and oversized parts, and parts after the end."""
         good = BodyPart(NUMBER, 0, False, b'a')
         big = bytes(WINDOW_BYTES + 1)
         cases = (
@@ -82,8 +82,8 @@
                     [reader.put(part) for part in parts][-1], wanted
                 )
 
-    async def test_cut_body_never_looks_whole(self) -> None:
-        """What came is read; then the reader fails."""
+    async def test_truncated_body_raises(self) -> None:
+        """Received parts are returned, then the reader raises an error."""
         reader = BodyReader(NUMBER, lambda _sent: None)
         reader.put(BodyPart(NUMBER, 0, False, b'a'))
         reader.fail(OSError('lost'))
--- a/tests/wire/test_headers.py
+++ b/tests/wire/test_headers.py
@@ -1,4 +1,4 @@
-"""Tests of headers that must not pass between HTTP and the stream."""
+"""Tests of header validation and filtering between HTTP and streams."""
 
 import unittest
 from typing import Any
@@ -43,29 +43,29 @@
 
 
 class TestHeaders(unittest.TestCase):
-    """What is refused, and what is held back."""
+    """Validation and removal of headers."""
 
     def test_bad_headers(self) -> None:
-        """Nothing gets by that an HTTP parser would refuse."""
+        """Headers that an HTTP parser would refuse are refused."""
         for headers in BAD_HEADERS:
             with self.subTest(str(headers)[:60]):
                 self.assertIsNotNone(header_problem(headers))
 
     def test_good_headers(self) -> None:
-        """Ordinary headers pass, text beyond ASCII too."""
+        """Ordinary headers are valid, also with non-ASCII values."""
         good = [['Accept', '*/*'], ['X-Name', 'Þórr\tx'], ['x-empty', '']]
         self.assertIsNone(header_problem(good))
 
     def test_targets(self) -> None:
-        """Request lines are checked as well."""
+        """Invalid methods and targets are refused, valid ones are not."""
         for method, target in BAD_TARGETS:
             with self.subTest((method, target[:40])):
                 self.assertIsNotNone(target_problem(method, target))
         self.assertIsNone(target_problem('PATCH', '/a?b=%20c'))
         self.assertIsNone(target_problem('OPTIONS', '*'))
 
-    def test_held_back(self) -> None:
-        """Headers of the connection, and those it names, end here."""
+    def test_hop_by_hop_headers_are_removed(self) -> None:
+        """Hop-by-hop headers and those named by Connection are removed."""
         given = {
             'Connection': 'close, X-Private',
             'X-Private': '1',
--- a/tests/wire/test_keyfile.py
+++ b/tests/wire/test_keyfile.py
@@ -1,4 +1,4 @@
-"""Tests of keys that are read from a file while a process runs."""
+"""Tests of key rotation by a file while a process runs."""
 
 import random
 import tempfile
@@ -17,10 +17,10 @@
 
 
 class TestKeyFile(unittest.TestCase):
-    """Rotation without a restart."""
+    """Key rotation without a restart."""
 
     def setUp(self) -> None:
-        """Write the first key and follow the file in virtual time."""
+        """Write the first key and start reading the file in virtual time."""
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.path = Path(folder.name) / 'keys'
@@ -31,16 +31,16 @@
         self.process = ProcessContext('entry', 'test', timers)
         follow_keys(self.process, self.ring)
 
-    def test_steps(self) -> None:
-        """Each step of a rotation is taken over."""
+    def test_rotation_steps(self) -> None:
+        """The keys of each rotation step are applied."""
         for keys in ((OLD, NEW), (NEW, OLD), (NEW,)):
             with self.subTest(keys=keys):
                 self.path.write_text(','.join(key.text for key in keys))
                 self._wait()
                 self.assertEqual(self.ring.keys, keys)
 
-    def test_bad_file_changes_nothing(self) -> None:
-        """A file that cannot be read leaves the keys before valid."""
+    def test_invalid_file_keeps_current_keys(self) -> None:
+        """A missing or malformed file leaves the previous keys valid."""
         for text in BAD:
             with self.subTest(text=text[:4]):
                 self.path.write_text(text, encoding='utf-8')
@@ -52,8 +52,8 @@
         with self.assertRaises(ValueError):
             load_keys(f'@{self.path}')
 
-    def test_hides_keys(self) -> None:
-        """Neither log nor debugger shows a key."""
+    def test_repr_hides_secret(self) -> None:
+        """The representation of a key does not contain its secret."""
         self.assertNotIn(OLD.secret.hex(), repr(self.ring.keys))
 
     def _wait(self) -> None:
--- a/tests/wire/test_keys.py
+++ b/tests/wire/test_keys.py
@@ -1,4 +1,4 @@
-"""Tests of keyed datagrams."""
+"""Tests of the sealing of datagrams."""
 
 import unittest
 
@@ -14,10 +14,10 @@
 
 
 class TestKeyRing(unittest.TestCase):
-    """Sealing, opening and rotating."""
+    """Sealing, opening and key rotation."""
 
     def test_rotation_has_no_gap(self) -> None:
-        """Rings that share one key understand each other."""
+        """Key rings that share one key open each other's datagrams."""
         before = KeyRing([OLD])
         between = KeyRing([OLD, NEW])
         after = KeyRing([NEW, OLD])
@@ -26,18 +26,20 @@
                 with self.subTest(sender=sender, receiver=receiver):
                     self.assertEqual(receiver.open(sender.seal(b'x')), b'x')
 
-    def test_refuses_other_keys(self) -> None:
-        """A datagram of an unknown key is not opened."""
+    def test_unknown_key_is_not_opened(self) -> None:
+        """A datagram sealed with an unknown key is not opened."""
         self.assertIsNone(KeyRing([OLD]).open(KeyRing([NEW]).seal(b'x')))
 
     @given(st.binary(max_size=64))
-    def test_refuses_noise(self, noise: bytes) -> None:
-        """Nothing opens without the key."""
-        self.assertIsNone(KeyRing([OLD]).open(noise))
+    def test_random_bytes_are_not_opened(self, random_bytes: bytes) -> None:
+        """Random bytes are not opened."""
+        self.assertIsNone(KeyRing([OLD]).open(random_bytes))
 
     @given(st.binary(min_size=1, max_size=64), st.data())
-    def test_refuses_changes(self, body: bytes, draw: st.DataObject) -> None:
-        """One flipped bit anywhere is noticed."""
+    def test_flipped_bit_is_detected(
+        self, body: bytes, draw: st.DataObject
+    ) -> None:
+        """A datagram with one flipped bit is not opened."""
         ring = KeyRing([OLD])
         sealed = bytearray(ring.seal(body))
         place = draw.draw(st.integers(0, len(sealed) - 1))
@@ -45,7 +47,7 @@
         self.assertIsNone(ring.open(bytes(sealed)))
 
     def test_rejects_bad_settings(self) -> None:
-        """Bad keys are named without being shown."""
+        """Malformed keys and duplicate key numbers are refused."""
         for text in BAD_KEYS:
             with self.subTest(text), self.assertRaises(ValueError):
                 parse_keys(text)
--- a/tests/wire/test_messages.py
+++ b/tests/wire/test_messages.py
@@ -34,22 +34,22 @@
     """Encoding and decoding."""
 
     def test_round_trip(self) -> None:
-        """Messages come out as they went in."""
+        """Decoding an encoded message returns an equal message."""
         for sent in MESSAGES:
             with self.subTest(sent):
                 self.assertEqual(decode(encode(sent)), sent)
 
     def test_refuses_malformed(self) -> None:
-        """Wrong kinds, counts and types are refused."""
+        """Wrong kinds, field counts and types are refused."""
         for raw in BAD:
             with self.subTest(raw), self.assertRaises(MessageError):
                 decode(raw)
 
     @given(st.binary(max_size=200))
-    def test_noise_is_harmless(self, noise: bytes) -> None:
-        """Any bytes are a message or a MessageError."""
+    def test_random_bytes(self, random_bytes: bytes) -> None:
+        """Any bytes are decoded or raise MessageError."""
         try:
-            received = decode(noise)
+            received = decode(random_bytes)
         except MessageError:
             return
         self.assertIsInstance(received, Message)
--- a/tests/wire/test_packets.py
+++ b/tests/wire/test_packets.py
@@ -18,17 +18,17 @@
 
 
 class TestInnerPacket(unittest.TestCase):
-    """Reading packets."""
+    """Parsing of inner packets."""
 
     def test_reads_fields(self) -> None:
-        """Ports and flags are those that were written."""
+        """Ports and flags are parsed."""
         packet = parse_inner(PACKET)
         assert packet is not None
         self.assertEqual(packet.target_port, 443)
         self.assertTrue(packet.first)
 
-    def test_key_is_the_flows(self) -> None:
-        """All packets of a flow have one number; flags do not matter."""
+    def test_key_depends_on_flow_only(self) -> None:
+        """All packets of a flow have the same number, whatever their flags."""
         first = parse_inner(PACKET)
         later = parse_inner(make_packet(FLOW, ACK))
         other = parse_inner(make_packet(FLOW.reverse(), ACK))
@@ -36,25 +36,25 @@
         self.assertEqual(first.key, later.key)
         self.assertNotEqual(first.key, other.key)
 
-    def test_refuses_cut_packets(self) -> None:
-        """A packet cut anywhere in its headers or body is refused."""
+    def test_truncated_packets(self) -> None:
+        """A packet truncated at any byte is refused."""
         for size in range(0, len(PACKET)):
             with self.subTest(size):
                 self.assertIsNone(parse_inner(PACKET[:size]))
 
     @given(st.binary(max_size=80))
-    def test_noise_is_harmless(self, noise: bytes) -> None:
-        """Any bytes are read or refused."""
-        packet = parse_inner(noise)
+    def test_random_bytes(self, random_bytes: bytes) -> None:
+        """Any bytes are parsed or refused."""
+        packet = parse_inner(random_bytes)
         if packet is not None:
-            self.assertLessEqual(len(packet.raw), len(noise))
+            self.assertLessEqual(len(packet.raw), len(random_bytes))
 
 
 class TestEnvelope(unittest.TestCase):
-    """Packing and unpacking."""
+    """Packing and unpacking of envelopes."""
 
     def test_round_trip(self) -> None:
-        """What was packed comes out."""
+        """Unpacking a packed envelope returns an equal envelope."""
         candidates = tuple(
             pack_address(('127.0.0.1', port)) for port in (1, 2, 65535)
         )
@@ -64,13 +64,13 @@
         self.assertEqual(Envelope.unpack(sent.pack()), sent)
 
     @given(st.binary(max_size=120))
-    def test_noise_is_harmless(self, noise: bytes) -> None:
-        """Any bytes are read or refused."""
-        envelope = Envelope.unpack(noise)
+    def test_random_bytes(self, random_bytes: bytes) -> None:
+        """Any bytes are unpacked or refused."""
+        envelope = Envelope.unpack(random_bytes)
         if envelope is not None:
-            self.assertLess(len(envelope.raw), len(noise))
+            self.assertLess(len(envelope.raw), len(random_bytes))
 
     def test_addresses(self) -> None:
-        """Addresses survive."""
+        """Unpacking a packed address returns the address."""
         address = ('10.20.30.40', 7100)
         self.assertEqual(unpack_address(pack_address(address)), address)
--- a/tests/wire/test_replay.py
+++ b/tests/wire/test_replay.py
@@ -1,4 +1,4 @@
-"""Tests of the replay window, against a set that remembers everything."""
+"""Tests of replay protection, compared with a plain set of counts."""
 
 import unittest
 
@@ -17,24 +17,24 @@
 PEER = ('127.0.0.1', 1)
 
 
-class Wire:
-    """A transport that keeps what is sent."""
+class RecordingTransport:
+    """A transport that records sent datagrams."""
 
     def __init__(self) -> None:
-        """Start empty."""
+        """Initialize without datagrams."""
         self.sent: list[bytes] = []
 
     def sendto(self, datagram: bytes, _receiver: object) -> None:
-        """Keep a datagram."""
+        """Record a datagram."""
         self.sent.append(datagram)
 
 
 class TestReplayGuard(unittest.TestCase):
-    """Once each, in any order."""
+    """Each message is accepted once, in any order."""
 
     @given(st.lists(st.integers(0, 200), max_size=60))
-    def test_as_a_set(self, order: list[int]) -> None:
-        """Within the window the guard takes what a plain set would."""
+    def test_matches_a_set(self, order: list[int]) -> None:
+        """Within the window the guard accepts the same as a plain set."""
         sender = ReplayGuard()
         stamps = [sender.stamp() for _ in range(201)]
         guard = ReplayGuard()
@@ -44,8 +44,8 @@
             self.assertEqual(guard.accept(stamps[number]), number not in seen)
             seen.add(number)
 
-    def test_too_old(self) -> None:
-        """Below the window nothing can be told, so it is refused."""
+    def test_below_window_is_refused(self) -> None:
+        """Messages below the window are unknown and therefore refused."""
         sender = ReplayGuard()
         stamps = [sender.stamp() for _ in range(1100)]
         guard = ReplayGuard()
@@ -54,25 +54,25 @@
         self.assertFalse(guard.accept(stamps[0]))
         self.assertTrue(guard.accept(stamps[200]))
 
-    def test_bounded(self) -> None:
-        """Many senders do not fill the memory."""
+    def test_sender_count_is_bounded(self) -> None:
+        """The number of stored senders is limited."""
         guard = ReplayGuard(max_senders=10)
         for _ in range(50):
             self.assertTrue(guard.accept(ReplayGuard().stamp()))
         self.assertEqual(len(guard), 10)
         self.assertFalse(guard.accept(b'x' * (STAMP_BYTES - 1)))
 
-    def test_socket_takes_a_message_once(self) -> None:
-        """A recorded control datagram is counted and not handed on."""
-        wire = Wire()
+    def test_socket_drops_replayed_messages(self) -> None:
+        """A replayed control datagram is counted and not delivered."""
+        transport = RecordingTransport()
         sender = PeerSocket(RING, Metrics())
-        sender.use(wire)  # type: ignore[arg-type]
+        sender.use(transport)  # type: ignore[arg-type]
         sender.send_message(Owner(b'f' * 13, bytes(6), 1, 1), PEER)
         metrics = Metrics()
         receiver = PeerSocket(RING, metrics)
         taken: list[Message] = []
         receiver.on_message = lambda message, _sender: taken.append(message)
         for _ in range(3):
-            receiver.receive(wire.sent[0], PEER)
+            receiver.receive(transport.sent[0], PEER)
         self.assertEqual(taken, [Owner(b'f' * 13, bytes(6), 1, 1)])
         self.assertEqual(metrics.value(Drop.replayed), 2)
--- a/tests/wire/test_stream_border.py
+++ b/tests/wire/test_stream_input.py
@@ -1,4 +1,4 @@
-"""Whatever bytes come over a stream: messages, an end, or an error."""
+"""Tests of streams with arbitrary input bytes."""
 
 import asyncio
 import tracemalloc
@@ -12,7 +12,7 @@
 
 
 async def read_all(raw: bytes) -> int:
-    """Return the number of messages before the end or the error."""
+    """Return the number of messages before the end or an error."""
     reader = asyncio.StreamReader()
     reader.feed_data(raw)
     reader.feed_eof()
@@ -26,21 +26,21 @@
     return count
 
 
-class TestStreamBorder(unittest.TestCase):
-    """Bytes of a peer that speaks something else."""
+class TestStreamInput(unittest.TestCase):
+    """Input of a peer that does not follow the protocol."""
 
     @given(st.binary(max_size=300))
     @settings(max_examples=200, deadline=None)
     def test_any_bytes(self, raw: bytes) -> None:
-        """Reading ends, with nothing but the documented error."""
+        """Reading ends, and the only error is the documented one."""
         self.assertLessEqual(asyncio.run(read_all(raw)), len(raw))
 
-    def test_length_claims_no_memory(self) -> None:
-        """A large length alone makes no room for what never comes."""
-        for claimed in (MAX_MESSAGE_BYTES, MAX_MESSAGE_BYTES + 1, 0xFFFFFFFF):
-            with self.subTest(claimed=claimed):
+    def test_length_field_allocates_no_memory(self) -> None:
+        """A large declared length alone allocates no memory."""
+        for declared in (MAX_MESSAGE_BYTES, MAX_MESSAGE_BYTES + 1, 0xFFFFFFFF):
+            with self.subTest(declared=declared):
                 tracemalloc.start()
-                raw = claimed.to_bytes(4, 'big') + bytes(20)
+                raw = declared.to_bytes(4, 'big') + bytes(20)
                 asyncio.run(read_all(raw))
                 _now, peak = tracemalloc.get_traced_memory()
                 tracemalloc.stop()
--- a/tests/wire/test_streams.py
+++ b/tests/wire/test_streams.py
@@ -8,7 +8,7 @@
 from siskinbank.wire.request_messages import Cancel
 from siskinbank.wire.streams import MessageStream
 
-#: Which frames come, and which are handed on; None for an error at the end.
+#: Frames that arrive, messages that are received, and whether reading fails.
 CASES = (
     ((0, 1, 2), (0, 1, 2), False),
     ((0, 0, 1, 1, 0, 2), (0, 1, 2), False),
@@ -18,13 +18,13 @@
 
 
 class _Recorder:
-    """Keeps what is written."""
+    """Records written frames."""
 
     def __init__(self) -> None:
         self.frames: list[bytes] = []
 
     def write(self, frame: bytes) -> None:
-        """Keep one frame."""
+        """Record one frame."""
         self.frames.append(frame)
 
 
@@ -39,7 +39,7 @@
 
 
 class TestMessageStream(unittest.IsolatedAsyncioTestCase):
-    """Doubled and late frames are dropped, a gap ends the stream."""
+    """Duplicate and late frames are dropped, a gap ends the stream."""
 
     async def receive(self, raw: bytes) -> tuple[list[int], bool]:
         """Return the numbers received, and whether the stream failed."""
@@ -57,7 +57,7 @@
         return numbers, False
 
     async def test_order(self) -> None:
-        """Whatever comes, each message is seen once and in order."""
+        """Each message is received once and in order."""
         frames = make_frames(3)
         for order, wanted, fails in CASES:
             with self.subTest(order):
@@ -65,8 +65,8 @@
                 got = await self.receive(raw)
                 self.assertEqual(got, (list(wanted), fails))
 
-    async def test_cut_and_oversized(self) -> None:
-        """A cut frame and a length that is too large end the stream."""
+    async def test_truncated_and_oversized(self) -> None:
+        """A truncated frame and a length above the maximum end the stream."""
         frame = make_frames(1)[0]
         for raw in (frame[:5], frame[:-1], b'\xff' * 12, b'\0' * 12):
             with self.subTest(raw):
