--- a/siskinbank/lab/__init__.py
+++ b/siskinbank/lab/__init__.py
@@ -1,1 +1,1 @@
-"""Experiments, small stand-ins of the systems around, and the demo."""
+"""Experiments, stand-ins for surrounding systems, and the demo."""
--- a/siskinbank/lab/faulty_link.py
+++ b/siskinbank/lab/faulty_link.py
@@ -1,7 +1,7 @@
-"""A small faulty link between an entry and a sidecar, on loopback.
+"""A proxy on loopback that causes faults between an entry and a sidecar.
 
-It stands where the message stream does: it takes whole frames, and delays,
-loses, doubles or reorders them, or holds them while it is paused.
+It forwards the message stream in whole frames, which it delays, loses,
+duplicates or reorders, or queues while it is paused.
 """
 
 import asyncio
@@ -16,13 +16,13 @@
 
 __all__ = ('Fault', 'FaultyLink', 'LinkFaults')
 
-_LEAD = struct.Struct('!IQ')
+_HEADER = struct.Struct('!IQ')
 _RAW_BYTES = 16 * 1024
 
 
 @dataclass(slots=True)
 class LinkFaults:
-    """Chances of faults for each frame, and the longest delay in seconds."""
+    """Probability of each fault per frame, and the longest delay in seconds."""
 
     lose: float = 0
     double: float = 0
@@ -32,7 +32,7 @@
 
 
 class Fault(enum.StrEnum):
-    """What befalls one frame."""
+    """The fault of one frame."""
 
     lose = 'lose'
     double = 'double'
@@ -40,12 +40,19 @@
     cut = 'cut'
 
 
-#: Chooses the fault of a frame: its message, and whether it goes there.
+#: Chooses the fault of a frame, by its message and whether it goes to the
+#: target.
 Script = Callable[[Message, bool], Fault | None]
 
 
 class FaultyLink:
-    """Passes connections on to one address, with faults."""
+    """Forwards connections to one address with faults.
+
+    Attributes:
+        target: address that connections are forwarded to.
+        faults: probabilities of faults.
+        script: chooses the fault of each frame instead, if set.
+    """
 
     def __init__(
         self,
@@ -55,41 +62,49 @@
         *,
         frames: bool = True,
     ) -> None:
-        """Pass on to ``target``; plain bytes instead of frames if not so."""
+        """Initialize a link.
+
+        Args:
+            target: address that connections are forwarded to.
+            faults: probabilities of faults.
+            rng: draws faults and delays.
+            frames: whether to forward whole frames, instead of bytes as they
+                are read.
+        """
         self.target = target
         self.faults = faults
         self._rng = rng
         self._frames = frames
         self.script: Script | None = None
-        self._open = asyncio.Event()
-        self._open.set()
+        self._running = asyncio.Event()
+        self._running.set()
         self._server: asyncio.Server | None = None
         self._tasks: set[asyncio.Task[None]] = set()
         self._writers: set[asyncio.StreamWriter] = set()
 
     async def start(self, address: Address) -> None:
-        """Listen.
+        """Listen at ``address``.
 
         Raises:
-            OSError: the address could not be bound.
+            OSError: the address cannot be bound.
         """
         self._server = await asyncio.start_server(self._accept, *address)
 
     def pause(self) -> None:
-        """Hold what comes, as a suspended process does."""
-        self._open.clear()
+        """Stop forwarding, as a suspended process does."""
+        self._running.clear()
 
     def resume(self) -> None:
-        """Let go of what was held."""
-        self._open.set()
+        """Forward again, queued frames first."""
+        self._running.set()
 
     def cut(self) -> None:
-        """Break all connections."""
+        """Abort all connections."""
         for writer in list(self._writers):
             writer.transport.abort()
 
     async def close(self) -> None:
-        """Stop listening and break all connections."""
+        """Stop listening and abort all connections."""
         if self._server is not None:
             self._server.close()
         self.cut()
@@ -119,52 +134,54 @@
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
-        far_reader, far_writer = await asyncio.open_connection(*self.target)
-        self._writers.add(far_writer)
-        there = asyncio.create_task(
-            self._pass_on(reader, far_writer, there=True)
+        target_reader, target_writer = await asyncio.open_connection(
+            *self.target
+        )
+        self._writers.add(target_writer)
+        forward_task = asyncio.create_task(
+            self._forward(reader, target_writer, to_target=True)
         )
-        back = asyncio.create_task(
-            self._pass_on(far_reader, writer, there=False)
+        return_task = asyncio.create_task(
+            self._forward(target_reader, writer, to_target=False)
         )
         try:
             await asyncio.wait(
-                (there, back),
+                (forward_task, return_task),
                 return_when=asyncio.FIRST_COMPLETED,
             )
         finally:
-            await _end(there, back)
-            self._writers.discard(far_writer)
+            await _cancel(forward_task, return_task)
+            self._writers.discard(target_writer)
         writer.close()
-        far_writer.close()
+        target_writer.close()
 
-    async def _pass_on(
+    async def _forward(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
         *,
-        there: bool,
+        to_target: bool,
     ) -> None:
-        held = b''
+        delayed = b''
         while frame := await self._read(reader):
-            await self._open.wait()
+            await self._running.wait()
             if self.faults.delay:
                 await asyncio.sleep(self._rng.uniform(0, self.faults.delay))
-            fault = self._draw(frame, there=there)
+            fault = self._choose_fault(frame, to_target=to_target)
             if fault is Fault.cut:
                 writer.transport.abort()
                 return
-            if fault is Fault.reorder and not held:
-                held = frame
+            if fault is Fault.reorder and not delayed:
+                delayed = frame
                 continue
-            writer.write(_after(frame, fault) + held)
-            held = b''
+            writer.write(_apply_fault(frame, fault) + delayed)
+            delayed = b''
             await writer.drain()
-        writer.write(held)
+        writer.write(delayed)
 
-    def _draw(self, frame: bytes, *, there: bool) -> Fault | None:
+    def _choose_fault(self, frame: bytes, *, to_target: bool) -> Fault | None:
         if self.script is not None:
-            return self.script(decode(frame[_LEAD.size :]), there)
+            return self.script(decode(frame[_HEADER.size :]), to_target)
         chances = (
             (Fault.cut, self.faults.cut),
             (Fault.lose, self.faults.lose),
@@ -182,21 +199,21 @@
         if not self._frames:
             return await reader.read(_RAW_BYTES)
         try:
-            lead = await reader.readexactly(_LEAD.size)
+            header = await reader.readexactly(_HEADER.size)
         except asyncio.IncompleteReadError:
             return b''
-        size = _LEAD.unpack(lead)[0]
-        return lead + await reader.readexactly(size)
+        size = _HEADER.unpack(header)[0]
+        return header + await reader.readexactly(size)
 
 
-def _after(frame: bytes, fault: Fault | None) -> bytes:
-    """Return what is left of a frame."""
+def _apply_fault(frame: bytes, fault: Fault | None) -> bytes:
+    """Return the bytes to send for a frame."""
     if fault is Fault.lose:
         return b''
     return frame + frame if fault is Fault.double else frame
 
 
-async def _end(*tasks: asyncio.Task[None]) -> None:
+async def _cancel(*tasks: asyncio.Task[None]) -> None:
     for task in tasks:
         task.cancel()
     await asyncio.gather(*tasks, return_exceptions=True)
--- a/siskinbank/lab/fleet.py
+++ b/siskinbank/lab/fleet.py
@@ -1,4 +1,4 @@
-"""A small fleet on loopback: platform, fabric, entries, sidecars, upstreams."""
+"""A small fleet of processes on loopback, with stand-ins."""
 
 import asyncio
 import copy
@@ -13,7 +13,7 @@
 from siskinbank.config.check import check_content
 from siskinbank.config.sections import split_sections
 from siskinbank.kernel.findings import Findings, Place
-from siskinbank.lab.instances import EntryPorts, HostPorts, instance_lines
+from siskinbank.lab.instances import EntryPorts, HostPorts, live_list
 from siskinbank.lab.ports import free_ports
 from siskinbank.lab.processes import ProcessGroup
 from siskinbank.util import hex_digest
@@ -28,7 +28,18 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetPlan:
-    """What a trial's fleet consists of."""
+    """The size and limits of a fleet.
+
+    Attributes:
+        site: name of the site.
+        data_centres: names of the data centres.
+        entries: number of entries.
+        services: number of hosts of each service.
+        slots: slots of each host.
+        connections: connections that each host accepts.
+        warm_up_seconds: warm-up time of a host.
+        cold_slots: slots of a host right after its start, ``slots`` if None.
+    """
 
     site: str
     data_centres: tuple[str, ...]
@@ -42,7 +53,7 @@
 
 @dataclass(slots=True)
 class Fleet:
-    """The running processes, and what the platform publishes of them."""
+    """The running processes and what the platform publishes."""
 
     plan: FleetPlan
     processes: ProcessGroup = field(default_factory=ProcessGroup)
@@ -69,7 +80,7 @@
         """Start all processes and wait until they serve.
 
         Raises:
-            TimeoutError: something did not start in time.
+            TimeoutError: a process did not start in time.
         """
         await self._start_platform()
         await self._start_fabric()
@@ -86,7 +97,7 @@
         """Start the platform and the entries only.
 
         Raises:
-            TimeoutError: something did not start in time.
+            TimeoutError: a process did not start in time.
         """
         await self._start_platform()
         for name, entry in self.entries.items():
@@ -99,14 +110,19 @@
         ports.update({name: host.admin for name, host in self.hosts.items()})
         return ports
 
-    async def publish(self, past: dict[str, Any] | None = None) -> None:
-        """Publish the document as the next generation, or ``past`` again."""
-        if past is None:
+    async def publish(self, earlier: dict[str, Any] | None = None) -> None:
+        """Publish the document as the next generation.
+
+        Args:
+            earlier: result of ``published`` to publish instead, with its
+                generation.
+        """
+        if earlier is None:
             self.generation += 1
-        await self._put('configuration', past or self.published())
+        await self._put('configuration', earlier or self.published())
 
     def published(self) -> dict[str, Any]:
-        """Return manifest and sections of the document.
+        """Return the manifest and sections of the document.
 
         Raises:
             ValueError: the document has findings.
@@ -135,31 +151,31 @@
         await self._put('instances', self.instances)
 
     async def set_platform_down(self, *, down: bool) -> None:
-        """Let the platform answer with errors, or serve again."""
+        """Make the platform answer with errors, or serve again."""
         await self._put('down', down)
 
     async def drain_host(self, name: str, state: str = 'draining') -> None:
-        """Publish a host as draining, or as ``active`` again."""
+        """Publish a host's state: ``draining``, or ``active`` again."""
         service = self.hosts[name].service
         host = self.document['services'][service]['hosts'][name]
         host['state'] = state
         await self.publish()
 
     async def set_instance_state(self, name: str, state: str) -> None:
-        """List an instance as ``live`` or ``leaving``."""
-        lines = instance_lines(self.hosts, self.entries)
-        line = next(line for line in lines if line['name'] == name)
+        """Publish an instance as ``live`` or ``leaving`` in the live list."""
+        listed = live_list(self.hosts, self.entries)
+        item = next(item for item in listed if item['name'] == name)
         others = [known for known in self.instances if known['name'] != name]
-        self.instances = [*others, {**line, 'state': state}]
+        self.instances = [*others, {**item, 'state': state}]
         await self.publish_instances()
 
     async def set_data_centre(self, name: str, state: str) -> None:
-        """Publish a data centre as ``in`` or ``out``."""
+        """Publish a data centre as ``in`` or ``out`` of service."""
         self.document['data_centres'][name]['state'] = state
         await self.publish()
 
     async def remove_instance(self, name: str) -> None:
-        """Take an instance off the live list."""
+        """Remove an instance from the live list."""
         self.instances = [
             instance for instance in self.instances if instance['name'] != name
         ]
@@ -233,7 +249,10 @@
         resent: float = 0,
         burst: int = 0,
     ) -> None:
-        """Start the callers; their report is the output of ``callers``."""
+        """Start the callers.
+
+        Their report is the output of the process ``callers``.
+        """
         arguments = [
             f'--bind={self._local(self.callers_port)}',
             f'--fabric={self._local(self.fabric_port)}',
@@ -247,17 +266,17 @@
         await self.processes.start('callers', command, capture=True)
 
     async def get(self, url: str) -> Any:
-        """Return a JSON document.
+        """Return the JSON document at ``url``.
 
         Raises:
-            OSError: no answer.
+            OSError: there was no answer.
         """
         async with aiohttp.ClientSession() as session:
             async with session.get(url) as answer:
                 return await answer.json()
 
     async def stats(self, name: str) -> dict[str, Any]:
-        """Return what an upstream saw."""
+        """Return the statistics of an upstream."""
         port = self.hosts[name].http
         stats: dict[str, Any] = await self.get(
             f'http://{self._local(port)}/stats',
@@ -265,7 +284,7 @@
         return stats
 
     async def status(self, name: str) -> dict[str, Any]:
-        """Return what an entry or a sidecar believes."""
+        """Return the status document of an entry or sidecar."""
         port = self.admin_ports()[name]
         status: dict[str, Any] = await self.get(
             f'http://{self._local(port)}/status',
@@ -276,20 +295,20 @@
         """Wait until an upstream serves.
 
         Raises:
-            TimeoutError: it was not in time.
+            TimeoutError: it did not serve in time.
         """
         url = f'http://{self._local(self.hosts[name].http)}/stats'
         await self._wait_for(url)
 
     async def wait_generation(self, port: int, least: int = 0) -> None:
-        """Wait until the process with this admin port is up to date.
+        """Wait until a process has a generation in force.
 
         Args:
-            port: its admin port.
-            least: the generation that will do; the newest one if 0.
+            port: admin port of the process.
+            min_generation: lowest generation to wait for; 0 for the newest.
 
         Raises:
-            TimeoutError: it was not in time.
+            TimeoutError: the generation was not in force in time.
         """
         url = f'http://{self._local(port)}/status'
         async with asyncio.timeout(_START_SECONDS):
@@ -361,8 +380,8 @@
             ],
         )
 
-    async def _put(self, what: str, content: Any) -> None:
-        url = f'{self.platform}/admin/{what}'
+    async def _put(self, resource: str, content: Any) -> None:
+        url = f'{self.platform}/admin/{resource}'
         async with aiohttp.ClientSession() as session:
             async with session.put(url, data=json.dumps(content)) as answer:
                 answer.raise_for_status()
@@ -380,21 +399,21 @@
     def _plan_ports(self) -> None:
         plan = self.plan
         hosts = sum(plan.services.values())
-        each_host = 5
-        each_entry = 3
-        each_service = 3
-        count = hosts * each_host + plan.entries * each_entry + 3
-        ports = iter(free_ports(count + len(plan.services) * each_service))
+        ports_per_host = 5
+        ports_per_entry = 3
+        ports_per_service = 3
+        count = hosts * ports_per_host + plan.entries * ports_per_entry + 3
+        ports = iter(free_ports(count + len(plan.services) * ports_per_service))
         self.platform_port, self.fabric_port, self.callers_port = islice(
             ports,
-            each_service,
+            ports_per_service,
         )
         centres = plan.data_centres
         for number in range(plan.entries):
             self.entries[f'entry-{number + 1}'] = EntryPorts(
                 centres[number % len(centres)],
                 f'127.0.0.{number + 2}',
-                *islice(ports, each_entry),
+                *islice(ports, ports_per_entry),
             )
         services: dict[str, Any] = {}
         for number, (service, size) in enumerate(plan.services.items()):
@@ -404,7 +423,7 @@
                 self.hosts[f'{service}-{position + 1}'] = HostPorts(
                     service,
                     centres[position % len(centres)],
-                    *islice(ports, each_host),
+                    *islice(ports, ports_per_host),
                 )
             services[service] = self._service(service, number)
         self.document = {
@@ -412,7 +431,7 @@
             'data_centres': {name: {'state': 'in'} for name in centres},
             'services': services,
         }
-        self.instances = instance_lines(self.hosts, self.entries)
+        self.instances = live_list(self.hosts, self.entries)
 
     def _service(self, service: str, number: int) -> dict[str, Any]:
         plan = self.plan
@@ -452,8 +471,8 @@
     ]
     for entry in fleet.entries.values():
         for ports in fleet.services.values():
-            place = f'{entry.address}:{ports["tcp"]}'
-            arguments.append(f'--tcp={place}')
+            endpoint = f'{entry.address}:{ports["tcp"]}'
+            arguments.append(f'--tcp={endpoint}')
             url = f'http://{entry.address}:{ports["http"]}'
             arguments.append(f'--http={url}')
     return arguments
--- a/siskinbank/lab/instances.py
+++ b/siskinbank/lab/instances.py
@@ -1,16 +1,20 @@
-"""The instances of a trial's fleet, and how the live list shows them."""
+"""The ports of a fleet's instances, and the live list of them."""
 
 from dataclasses import dataclass
 from typing import Any
 
-__all__ = ('EntryPorts', 'HostPorts', 'instance_lines')
+__all__ = ('EntryPorts', 'HostPorts', 'live_list')
 
 _LOOPBACK = '127.0.0.1'
 
 
 @dataclass(frozen=True, slots=True)
 class HostPorts:
-    """The ports of one host's sidecar and upstream."""
+    """The service, data centre and ports of one host.
+
+    ``sidecar`` and ``admin`` are ports of its sidecar, the others are ports
+    of its upstream.
+    """
 
     service: str
     data_centre: str
@@ -23,7 +27,10 @@
 
 @dataclass(frozen=True, slots=True)
 class EntryPorts:
-    """The ports of one entry, and of each service on it."""
+    """The data centre, address and ports of one entry.
+
+    Its services listen at ``address``.
+    """
 
     data_centre: str
     address: str
@@ -32,23 +39,25 @@
     fou: int
 
 
-def instance_lines(
+def live_list(
     hosts: dict[str, HostPorts],
     entries: dict[str, EntryPorts],
 ) -> list[dict[str, Any]]:
-    """Return the live list with all instances."""
-    lines = [
-        _line(name, 'entry', entry.data_centre, entry.bind)
+    """Return the live list of all instances."""
+    listed = [
+        _list_item(name, 'entry', entry.data_centre, entry.bind)
         for name, entry in entries.items()
     ]
-    lines.extend(
-        _line(name, 'sidecar', host.data_centre, host.sidecar)
+    listed.extend(
+        _list_item(name, 'sidecar', host.data_centre, host.sidecar)
         for name, host in hosts.items()
     )
-    return lines
+    return listed
 
 
-def _line(name: str, role: str, data_centre: str, port: int) -> dict[str, Any]:
+def _list_item(
+    name: str, role: str, data_centre: str, port: int
+) -> dict[str, Any]:
     return {
         'name': name,
         'role': role,
--- a/siskinbank/lab/network.py
+++ b/siskinbank/lab/network.py
@@ -1,4 +1,4 @@
-"""A network in memory and in virtual time, for the experiments."""
+"""A simulated network in virtual time for experiments."""
 
 import asyncio
 import heapq
@@ -16,25 +16,34 @@
 
 
 class FakeTransport(asyncio.DatagramTransport):
-    """A socket of the network in memory."""
+    """A datagram socket of a simulated network."""
 
-    def __init__(self, network: 'FakeNetwork', own: Address) -> None:
-        """Send from ``own``."""
+    def __init__(self, network: 'FakeNetwork', local_address: Address) -> None:
+        """Initialize a socket bound to ``local_address``."""
         super().__init__()
         self._network = network
-        self._own = own
+        self._local_address = local_address
 
     def sendto(self, data: Any, addr: Any = None) -> None:
-        """Send one datagram."""
-        self._network.send(bytes(data), self._own, addr)
+        """Send one datagram to ``addr``."""
+        self._network.send(bytes(data), self._local_address, addr)
 
     def close(self) -> None:
-        """Take the address off the network."""
-        self._network.unbind(self._own)
+        """Unbind the address."""
+        self._network.unbind(self._local_address)
 
 
 class FakeNetwork:
-    """Delivers datagrams and calls back in the order of virtual time."""
+    """Delivers datagrams and runs callbacks in the order of virtual time.
+
+    Attributes:
+        loss: share of the datagrams that are lost.
+        may_lose: returns whether a datagram may be lost.
+        cut: returns whether the path from sender to receiver is cut.
+        watch: called with each datagram that is delivered and its receiver.
+        datagrams: number of datagrams sent.
+        octets: number of bytes sent.
+    """
 
     def __init__(
         self,
@@ -42,7 +51,14 @@
         rng: random.Random,
         latency: float = 0.001,
     ) -> None:
-        """Deliver after ``latency`` seconds, a fifth more or less."""
+        """Initialize a network.
+
+        Args:
+            clock: the virtual clock, which the network advances.
+            rng: draws losses and delays.
+            latency: mean delay in seconds; each delay differs from it by up
+                to a fifth.
+        """
         self._clock = clock
         self._rng = rng
         self._latency = latency
@@ -57,12 +73,12 @@
         self.octets = 0
 
     def bind(self, address: Address, handler: Handler) -> FakeTransport:
-        """Deliver what is sent to ``address`` to ``handler``."""
+        """Bind ``handler`` to an address; return a socket to send from it."""
         self._handlers[address] = handler
         return FakeTransport(self, address)
 
     def unbind(self, address: Address) -> None:
-        """Drop what is sent to ``address`` from now on."""
+        """Unbind an address; datagrams to it are dropped from now on."""
         self._handlers.pop(address, None)
 
     def send(self, datagram: bytes, sender: Address, receiver: Address) -> None:
@@ -83,13 +99,13 @@
         heapq.heappush(self._queue, (due, next(self._order), callback))
 
     def run(self, seconds: float) -> None:
-        """Let virtual time pass."""
-        until = self._clock() + seconds
-        while self._queue and self._queue[0][0] <= until:
+        """Run for ``seconds`` of virtual time."""
+        deadline = self._clock() + seconds
+        while self._queue and self._queue[0][0] <= deadline:
             due, _order, callback = heapq.heappop(self._queue)
             self._clock.now = max(due, self._clock.now)
             callback()
-        self._clock.now = until
+        self._clock.now = deadline
 
     def deliver(
         self,
@@ -97,7 +113,7 @@
         receiver: Address,
         sender: Address = ('0.0.0.0', 0),
     ) -> None:
-        """Hand over a datagram at once."""
+        """Deliver a datagram without delay."""
         self.watch(datagram, receiver)
         handler = self._handlers.get(receiver)
         if handler is not None:
@@ -113,4 +129,4 @@
 
 
 def _watch_nothing(_datagram: bytes, _receiver: Address) -> None:
-    """Let a datagram pass."""
+    """Ignore a datagram."""
--- a/siskinbank/lab/processes.py
+++ b/siskinbank/lab/processes.py
@@ -1,4 +1,4 @@
-"""Start, watch and stop the processes of a trial on loopback."""
+"""Start, signal and stop the processes of an experiment."""
 
 import asyncio
 import signal
@@ -11,10 +11,10 @@
 
 
 class ProcessGroup:
-    """The processes of one trial, by name; none outlives it."""
+    """The processes of one experiment, by name; ``stop`` ends all of them."""
 
     def __init__(self) -> None:
-        """Start without processes."""
+        """Initialize a group without processes."""
         self._processes: dict[str, asyncio.subprocess.Process] = {}
 
     async def start(
@@ -24,41 +24,51 @@
         *,
         capture: bool = False,
     ) -> None:
-        """Start ``siskinbank ARGUMENTS`` under ``name``."""
+        """Start ``siskinbank ARGUMENTS`` under ``name``.
+
+        Args:
+            name: name of the process in this group.
+            arguments: command line.
+            capture: whether its output is captured for ``output``.
+        """
         self._processes[name] = await asyncio.create_subprocess_exec(
-            *_program(),
+            *_own_command(),
             *arguments,
             stdin=asyncio.subprocess.DEVNULL,
             stdout=asyncio.subprocess.PIPE if capture else None,
         )
 
     def signal(self, name: str, number: signal.Signals) -> None:
-        """Send a signal to a process if it still runs."""
+        """Send a signal to a process if it is running."""
         process = self._processes[name]
         if process.returncode is None:
             process.send_signal(number)
 
-    def ident(self, name: str) -> int:
-        """Return the process number."""
+    def pid(self, name: str) -> int:
+        """Return the process id."""
         return self._processes[name].pid
 
     def running(self, name: str) -> bool:
-        """Whether a process still runs."""
+        """Return whether a process is running."""
         process = self._processes.get(name)
         return process is not None and process.returncode is None
 
     async def output(self, name: str, seconds: float) -> bytes:
-        """Wait for the end of a captured process and return its output.
+        """Wait until a captured process ends and return its output.
 
         Raises:
-            TimeoutError: it did not end in time.
+            TimeoutError: it did not end within ``seconds``.
         """
         async with asyncio.timeout(seconds):
             written, _errors = await self._processes[name].communicate()
         return written
 
     async def wait(self, name: str, seconds: float) -> int | None:
-        """Return the exit code, or None if the process did not end."""
+        """Wait for a process.
+
+        Returns:
+            Its exit code, or None if it did not end within ``seconds``.
+        """
         try:
             async with asyncio.timeout(seconds):
                 return await self._processes[name].wait()
@@ -66,13 +76,13 @@
             return None
 
     async def stop(self) -> None:
-        """End all processes, the one that was started first at last."""
+        """Stop all processes; the one started first is stopped last."""
         names = list(self._processes)
         await self._stop_together(names[1:])
         await self._stop_together(names[:1])
 
     async def _stop_together(self, names: Sequence[str]) -> None:
-        """End processes, by force if they do not stop in time."""
+        """Terminate processes, and kill those that do not stop in time."""
         for started in names:
             self.signal(started, signal.SIGCONT)
             self.signal(started, signal.SIGTERM)
@@ -84,8 +94,8 @@
             await self.wait(left, _STOP_SECONDS)
 
 
-def _program() -> list[str]:
-    """Return the command that runs this very program again."""
+def _own_command() -> list[str]:
+    """Return the command line that runs the current program."""
     if sys.argv[0].endswith(('.pyz', 'siskinbank')):
         return [sys.executable, sys.argv[0]]
     return [sys.executable, '-m', 'siskinbank']
--- a/siskinbank/lab/real_fleet.py
+++ b/siskinbank/lab/real_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet of separate processes on loopback, bounded in count and time."""
+"""Measure a limited number of processes on loopback for a fixed time."""
 
 import asyncio
 import os
@@ -8,19 +8,26 @@
 from siskinbank.lab.fleet import Fleet, FleetPlan
 from siskinbank.lab.memory import private_kilobytes
 
-__all__ = ('RealFigures', 'measure_real')
+__all__ = ('ProcessFigures', 'measure_real')
 
 _SETTLE_SECONDS = 5
 _MEASURE_SECONDS = 10
 _CENTRES = ('north-a', 'north-b', 'south-a', 'south-b')
 _ENTRY_SHARE = 0.25
-_START_TOGETHER = 8
-_USER_FIELD = 11
+_START_BATCH_SIZE = 8
+_UTIME_FIELD = 11
 
 
 @dataclass(frozen=True, slots=True)
-class RealFigures:
-    """Means over the processes of one run, idle but for control."""
+class ProcessFigures:
+    """Measurements of processes that handle control traffic only.
+
+    Attributes:
+        processes: number of processes.
+        core_share: mean share of a core that a process used.
+        bytes_a_second: mean control bytes per second that a process sent.
+        kilobytes: largest private memory of a process, by role.
+    """
 
     processes: int
     core_share: float
@@ -28,8 +35,8 @@
     kilobytes: dict[str, int]
 
 
-async def measure_real(count: int) -> RealFigures:
-    """Start ``count`` entries and sidecars, and measure them idle.
+async def measure_real(count: int) -> ProcessFigures:
+    """Start ``count`` entries and sidecars and measure them without load.
 
     Raises:
         TimeoutError: the processes did not start in time.
@@ -46,29 +53,29 @@
 
 
 async def _start(fleet: Fleet) -> None:
-    """Start the platform, the entries, and some sidecars at a time."""
+    """Start the platform, the entries, and the sidecars in batches."""
     await fleet.start_without_hosts()
     ports = fleet.admin_ports()
     names = list(fleet.hosts)
-    for first in range(0, len(names), _START_TOGETHER):
-        batch = names[first : first + _START_TOGETHER]
+    for first in range(0, len(names), _START_BATCH_SIZE):
+        batch = names[first : first + _START_BATCH_SIZE]
         for name in batch:
             await fleet.start_sidecar(name)
         for started in batch:
             await fleet.wait_generation(ports[started])
 
 
-async def _measure(fleet: Fleet) -> RealFigures:
+async def _measure(fleet: Fleet) -> ProcessFigures:
     names = list(fleet.admin_ports())
-    ids = {name: fleet.processes.ident(name) for name in names}
+    ids = {name: fleet.processes.pid(name) for name in names}
     before = await _control_bytes(fleet, names)
-    ticks = {name: _ticks(ids[name]) for name in names}
+    ticks = {name: _cpu_ticks(ids[name]) for name in names}
     await asyncio.sleep(_MEASURE_SECONDS)
-    used = sum(_ticks(ids[name]) - ticks[name] for name in names)
+    used = sum(_cpu_ticks(ids[name]) - ticks[name] for name in names)
     sent = await _control_bytes(fleet, names) - before
     seconds = _MEASURE_SECONDS * len(names)
     roles = {'entry': list(fleet.entries), 'sidecar': list(fleet.hosts)}
-    return RealFigures(
+    return ProcessFigures(
         len(names),
         used / os.sysconf('SC_CLK_TCK') / seconds,
         sent / seconds,
@@ -87,8 +94,8 @@
     )
 
 
-def _ticks(process: int) -> int:
-    """Return the clock ticks that a process has used."""
+def _cpu_ticks(process: int) -> int:
+    """Return the CPU time of a process in clock ticks."""
     stat = Path(f'/proc/{process}/stat').read_text('ascii')
     fields = stat.rpartition(')')[2].split()
-    return int(fields[_USER_FIELD]) + int(fields[_USER_FIELD + 1])
+    return int(fields[_UTIME_FIELD]) + int(fields[_UTIME_FIELD + 1])
--- a/siskinbank/lab/rig/__init__.py
+++ b/siskinbank/lab/rig/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins of the users' platform on loopback, around the real programs."""
+"""Stand-ins for the users' platform, to run the real programs on loopback."""
--- a/siskinbank/lab/rig/client.py
+++ b/siskinbank/lab/rig/client.py
@@ -1,4 +1,4 @@
-"""A stand-in of a client machine: flows through any entry."""
+"""A stand-in for a client machine that opens flows through any entry."""
 
 import asyncio
 import random
@@ -9,21 +9,29 @@
 
 __all__ = ('ClientFlow', 'ClientStandIn', 'Refused')
 
-# When a client sends copies of its first packet, and when it gives up, in
-# seconds.
-_COPIES_S = (0.2, 0.4, 0.8)
-# When it sends other packets again, in seconds.
-_AGAIN_S = (0.2, 0.4, 0.8, 1.6)
+# How long a client waits for an answer to each copy of its first packet, in
+# seconds. It gives up after the last one.
+_SYN_TIMEOUTS_S = (0.2, 0.4, 0.8)
+# The same for other packets, in seconds.
+_RETRANSMIT_TIMEOUTS_S = (0.2, 0.4, 0.8, 1.6)
 _FIRST_PORT = 20000
 
 
 class Refused(Exception):
-    """A flow was reset, or never answered."""
+    """A flow was reset, or no answer came."""
 
 
 @dataclass
 class ClientFlow:
-    """A flow, open or about to be."""
+    """A flow that is open or being opened.
+
+    Attributes:
+        port: the client's port.
+        target: address that the flow goes to.
+        number: next sequence number to send.
+        acknowledged: acknowledgement number to send.
+        answers: packets received and not read yet.
+    """
 
     port: int
     target: tuple[str, int]
@@ -36,13 +44,13 @@
     """One client machine.
 
     Attributes:
-        entry: address of the entry that its router picks now.
-        broken: packets that nobody wrote so.
-        resets: how many flows were reset.
+        entry: address of the entry that its router sends packets to.
+        corrupt: number of packets received with a wrong checksum.
+        resets: number of flows that were reset.
     """
 
     def __init__(self, ip: str, port: int, entry: str) -> None:
-        """Prepare a machine without flows."""
+        """Initialize a client without flows."""
         self.entry = entry
         self.broken = 0
         self.resets = 0
@@ -53,7 +61,7 @@
         self._transport: asyncio.DatagramTransport | None = None
 
     async def open(self) -> None:
-        """Listen for packets."""
+        """Open the socket."""
         loop = asyncio.get_running_loop()
         endpoint = await loop.create_datagram_endpoint(
             lambda: self,
@@ -62,12 +70,12 @@
         self._transport = endpoint[0]
 
     def close(self) -> None:
-        """Stop listening."""
+        """Close the socket."""
         if self._transport:
             self._transport.close()
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Take one packet."""
+        """Pass a packet to its flow."""
         packet = Packet.read(data)
         if not packet.whole and not packet.flags & RST:
             self.broken += 1
@@ -80,14 +88,14 @@
         """Open a flow.
 
         Raises:
-            Refused: it was reset, or nobody answered.
+            FlowFailed: the flow was reset, or no answer came.
         """
         self._next_port += 1
         flow = ClientFlow(self._next_port, target, random.randrange(1 << 31))
         self._flows[flow.port] = flow
-        for copy, wait in enumerate(_COPIES_S):
+        for copy, wait in enumerate(_SYN_TIMEOUTS_S):
             self._send(flow, SYN, acknowledged=copy)
-            answer = await _next(flow, wait)
+            answer = await _receive(flow, wait)
             if answer:
                 flow.number += 1
                 flow.acknowledged = answer.number + 1
@@ -96,35 +104,35 @@
         raise Refused('no answer')
 
     async def ask(self, flow: ClientFlow, name: str, length: int = 0) -> str:
-        """Send a request and return the body of its answer.
+        """Send a request and return the body of the answer.
 
         Raises:
-            Refused: the flow was reset, or no answer came.
+            FlowFailed: the flow was reset, or no answer came.
         """
         content = request_bytes(name, length)
-        for wait in _AGAIN_S:
+        for wait in _RETRANSMIT_TIMEOUTS_S:
             self._send(flow, ACK, content)
-            body = await self._body(flow, wait)
+            body = await self._receive_body(flow, wait)
             if body is not None:
                 flow.number += len(content)
                 return body
         raise Refused('no answer')
 
     async def request(self, target: tuple[str, int], name: str) -> str:
-        """Open a flow for one request and close it."""
+        """Send one request over a flow of its own."""
         flow = await self.connect(target)
         body = await self.ask(flow, name)
         self._send(flow, FIN | ACK)
         return body
 
     def send_raw(self, datagram: bytes) -> None:
-        """Send whatever it is to the entry."""
+        """Send a datagram to the entry as it is."""
         if self._transport:
             self._transport.sendto(datagram, (self.entry, self._port))
 
-    async def _body(self, flow: ClientFlow, wait: float) -> str | None:
+    async def _receive_body(self, flow: ClientFlow, wait: float) -> str | None:
         while True:
-            answer = await _next(flow, wait)
+            answer = await _receive(flow, wait)
             if answer is None:
                 return None
             if answer.flags & SYN or not answer.content:
@@ -153,12 +161,12 @@
         self.send_raw(packet.write())
 
 
-async def _next(flow: ClientFlow, wait: float) -> Packet | None:
+async def _receive(flow: ClientFlow, wait: float) -> Packet | None:
     try:
         async with asyncio.timeout(wait):
             packet = await flow.answers.get()
     except TimeoutError:
-        # The caller sends again.
+        # The caller retransmits.
         return None
     if packet.flags & RST:
         raise Refused('reset')
--- a/siskinbank/lab/rig/fleet.py
+++ b/siskinbank/lab/rig/fleet.py
@@ -1,4 +1,4 @@
-"""Real entries and sidecars as processes, among stand-ins, on loopback."""
+"""Real entry and sidecar processes with stand-ins on loopback."""
 
 import asyncio
 import os
@@ -23,26 +23,28 @@
 
 __all__ = ('TARGET', 'Fleet', 'Program')
 
-#: The one route of a new fleet.
+#: Address of the only route of a new fleet.
 TARGET = ('198.18.0.1', 443)
 _SERVICE = 'matcher'
 _STORE_PORT = 8169
 _HOST_PORT = 8165
-_FIRST_ENTRY = 1
-_FIRST_HOST = 20
-_FIRST_CLIENT = 100
-_STORE = 200
+# Last numbers of loopback addresses.
+_FIRST_ENTRY_NUMBER = 1
+_FIRST_HOST_NUMBER = 20
+_FIRST_CLIENT_NUMBER = 100
+_STORE_NUMBER = 200
 _DATA_CENTRES = ('a', 'b')
 
 
 @dataclass
 class Program:
-    """One process of the system, which can be started again.
+    """One process of the system, which can be restarted.
 
     Attributes:
-        settings: what it is told.
+        settings: settings that the process reads at its start.
         role: ``entry`` or ``sidecar``.
-        folder: where its settings and its log lie.
+        folder: folder of its settings file and its log.
+        process: the running process, if any.
     """
 
     settings: ProcessSettings
@@ -52,7 +54,7 @@
 
     @property
     def log(self) -> str:
-        """All that it has written."""
+        """The output of all its runs."""
         return (self.folder / f'{self.settings.name}.log').read_text()
 
     def start(self) -> None:
@@ -69,12 +71,16 @@
             )
 
     def signal(self, number: Signals) -> None:
-        """Send the process a signal."""
+        """Send a signal to the process."""
         if self.process:
             self.process.send_signal(number)
 
     def end(self) -> int | None:
-        """Kill the process; return the code if it had ended by itself."""
+        """Kill the process.
+
+        Returns:
+            The exit code if the process had ended before, else None.
+        """
         if self.process is None:
             return None
         code = self.process.poll()
@@ -87,15 +93,17 @@
 
 @dataclass
 class Fleet:
-    """A small site.
+    """A small site of real processes and stand-ins.
 
     Attributes:
-        folder: where settings and logs go.
+        folder: folder for settings and logs.
+        entry_count: number of entries.
+        host_count: number of hosts.
         store: the platform's store.
         entries: the entry processes.
-        sidecars: the sidecar processes, one a host.
+        sidecars: the sidecar processes, one per host.
         hosts: the hosts.
-        clients: machines of clients.
+        clients: the client machines.
     """
 
     folder: Path
@@ -111,24 +119,24 @@
     _version: int = 1
 
     async def open(self) -> None:
-        """Start everything."""
+        """Start the store, hosts, sidecars, entries and clients."""
         self._prefix = f'127.{random.randrange(1, 250)}.{random.randrange(250)}'
         self._port = random.randrange(20000, 28000)
-        await self.store.open((self._ip(_STORE), _STORE_PORT))
+        await self.store.open((self._ip(_STORE_NUMBER), _STORE_PORT))
         await self.publish([RouteEntry(_SERVICE, TARGET)])
         for index in range(self.host_count):
             await self._add_host(index)
         for index in range(self.entry_count):
             self._add_entry(index)
         for index in range(self.entry_count):
-            ip = self._ip(_FIRST_CLIENT + index)
+            ip = self._ip(_FIRST_CLIENT_NUMBER + index)
             entry = self.entries[index].settings.ip
             client = ClientStandIn(ip, self._port, entry)
             await client.open()
             self.clients.append(client)
 
     async def close(self) -> None:
-        """End everything that was started."""
+        """Kill the processes and close the stand-ins."""
         for program in (*self.entries, *self.sidecars):
             program.end()
         for host in self.hosts:
@@ -142,14 +150,14 @@
         routes: list[RouteEntry],
         cold_per_s: float = 0,
     ) -> int:
-        """Write a new configuration; return its version."""
+        """Write a new configuration and return its version."""
         self._version += 3
         content = encode_configuration(self._version, routes, cold_per_s)
         await self.store.put(CONFIGURATION_KEY, content)
         return self._version
 
     async def register(self, index: int, **changes: object) -> None:
-        """Write the entry of a host, with some fields of its own."""
+        """Write a host's entry in the store, with some fields changed."""
         host = self.hosts[index]
         entry = HostEntry(
             _SERVICE,
@@ -160,7 +168,7 @@
         await self.store.put(f'{HOSTS}{host.name}', entry.encode())
 
     async def take_out(self, data_centre: str) -> None:
-        """Take a data centre out."""
+        """Take a data centre out of service."""
         await self.store.put(f'{EVACUATIONS}{data_centre}', b'{}')
 
     def data_centre(self, index: int) -> str:
@@ -171,14 +179,14 @@
         """Wait until each client can open a flow through its entry.
 
         Raises:
-            TimeoutError: the fleet serves nobody within the time.
+            TimeoutError: a client is not served within ``seconds``.
         """
         async with asyncio.timeout(seconds):
             for client in self.clients:
-                await _serve_once(client)
+                await _wait_until_served(client)
 
     async def _add_host(self, index: int) -> None:
-        ip = self._ip(_FIRST_HOST + index)
+        ip = self._ip(_FIRST_HOST_NUMBER + index)
         address = (ip, _HOST_PORT)
         host = HostStandIn(f'i-{index}', address, (ip, self._port + 3))
         await host.open()
@@ -188,7 +196,7 @@
         self._start(Program(settings, 'sidecar', self.folder), self.sidecars)
 
     def _add_entry(self, index: int) -> None:
-        ip = self._ip(_FIRST_ENTRY + index)
+        ip = self._ip(_FIRST_ENTRY_NUMBER + index)
         settings = self._settings(f'entry-{index}', ip, index, None)
         self._start(Program(settings, 'entry', self.folder), self.entries)
 
@@ -204,8 +212,8 @@
             ip,
             self.data_centre(index),
             (self._port, self._port + 1, self._port + 2, self._port + 3),
-            (self._ip(_FIRST_ENTRY),),
-            (self._ip(_STORE), _STORE_PORT),
+            (self._ip(_FIRST_ENTRY_NUMBER),),
+            (self._ip(_STORE_NUMBER), _STORE_PORT),
             _SERVICE,
             host,
         )
@@ -218,12 +226,12 @@
         return f'{self._prefix}.{number}'
 
 
-async def _serve_once(client: ClientStandIn) -> None:
+async def _wait_until_served(client: ClientStandIn) -> None:
     while True:
         try:
             await client.request(TARGET, f'settle-{client.entry}')
         except Refused:
-            # Not yet; the caller bounds the time.
+            # Not served yet; the caller limits the time.
             await asyncio.sleep(0.05)
         else:
             return
--- a/siskinbank/lab/rig/host.py
+++ b/siskinbank/lab/rig/host.py
@@ -1,4 +1,4 @@
-"""A stand-in of a host: flows, slots, and what it bounces."""
+"""A stand-in for a host: answers requests, bounces unknown flows."""
 
 import asyncio
 import random
@@ -9,19 +9,21 @@
 
 __all__ = ('HostStandIn',)
 
-_WORK_S = 0.005
-_ID = b'Siskinbank-Attempt-Id: '
+_PROCESSING_S = 0.005
+_ID_HEADER = b'Siskinbank-Attempt-Id: '
 
 
 class HostStandIn(asyncio.DatagramProtocol):
     """One host behind a sidecar.
 
     Attributes:
-        name: what its answers say.
-        runs: ids of the requests that it ran.
-        taken: flows that it took, as addresses of clients.
-        strays: packets of flows that it does not hold.
-        broken: packets that nobody wrote so.
+        name: name of the host in its answers.
+        address: address at which it receives packets.
+        runs: ids of the requests that it has run.
+        accepted: client addresses of the flows that it has accepted.
+        unknown_flow_packets: number of packets of unknown flows.
+        corrupt: number of packets received with a wrong checksum.
+        processing_s: processing time of a request in seconds.
     """
 
     def __init__(
@@ -30,20 +32,26 @@
         address: tuple[str, int],
         output: tuple[str, int],
     ) -> None:
-        """Prepare a host without flows."""
+        """Initialize a host without flows.
+
+        Args:
+            name: name of the host in its answers.
+            address: address at which it receives packets.
+            output: address that it sends its packets to.
+        """
         self.name = name
         self.address = address
         self.runs: list[str] = []
         self.taken: list[tuple[str, int]] = []
-        self.strays = 0
+        self.unknown_flow_packets = 0
         self.broken = 0
-        self.work_s = _WORK_S
+        self.work_s = _PROCESSING_S
         self._output = output
         self._flows: dict[tuple[tuple[str, int], tuple[str, int]], int] = {}
         self._transport: asyncio.DatagramTransport | None = None
 
     async def open(self) -> None:
-        """Listen for packets."""
+        """Open the socket."""
         loop = asyncio.get_running_loop()
         endpoint = await loop.create_datagram_endpoint(
             lambda: self,
@@ -52,14 +60,14 @@
         self._transport = endpoint[0]
 
     def close(self) -> None:
-        """Crash: all flows are lost."""
+        """Close the socket and lose all flows, as a crash does."""
         self._flows.clear()
         if self._transport:
             self._transport.close()
             self._transport = None
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Take one packet."""
+        """Accept, answer or bounce a packet."""
         packet = Packet.read(data)
         if not packet.whole:
             self.broken += 1
@@ -70,14 +78,14 @@
             self.taken.append(packet.source)
             self._reply(packet, SYN | ACK, self._flows[key])
         elif key in self._flows:
-            self._work(key, packet)
+            self._process(key, packet)
         else:
-            self.strays += 1
+            self.unknown_flow_packets += 1
             bounced = bytearray(data)
             bounced[12] |= BOUNCED
             self._send(bytes(bounced))
 
-    def _work(
+    def _process(
         self,
         key: tuple[tuple[str, int], tuple[str, int]],
         packet: Packet,
@@ -89,8 +97,8 @@
             self._reply(packet, FIN | ACK, packet.acknowledged)
             self._flows.pop(key)
             return
-        if _ID in packet.content:
-            _, _, rest = packet.content.partition(_ID)
+        if _ID_HEADER in packet.content:
+            _, _, rest = packet.content.partition(_ID_HEADER)
             name = rest.partition(b'\r\n')[0].decode()
             loop = asyncio.get_running_loop()
             loop.call_later(self.work_s, self._finish(packet, name))
--- a/siskinbank/lab/rig/store.py
+++ b/siskinbank/lab/rig/store.py
@@ -1,4 +1,4 @@
-"""A stand-in of the platform's store, with its troubles."""
+"""A stand-in for the platform's store, with faults."""
 
 import asyncio
 from collections.abc import Callable
@@ -7,7 +7,7 @@
 
 __all__ = ('StoreStandIn',)
 
-_PAGE = 50
+_PAGE_SIZE = 50
 _OK = 200
 _GONE = 410
 _MISSING = 404
@@ -15,17 +15,17 @@
 
 
 class StoreStandIn:
-    """Holds items by key, and the history of their changes.
+    """Serves items by key and the history of their changes.
 
     Attributes:
-        silent: it takes calls and never answers.
-        busy: it refuses callers for whom this is true, by address.
-        delay_s: how long an answer takes.
-        calls: how many calls came.
+        silent: whether it receives calls and never answers.
+        busy: returns whether calls from an address are refused.
+        delay_s: delay of each answer in seconds.
+        calls: number of calls received.
     """
 
     def __init__(self) -> None:
-        """Start empty, at a revision above 0."""
+        """Initialize an empty store at revision 1."""
         self.silent = False
         self.busy: Callable[[str], bool] = lambda ip: False
         self.delay_s: float = 0
@@ -33,24 +33,24 @@
         self._revision = 1
         self._items: dict[str, Item] = {}
         self._history: list[Item] = []
-        self._oldest = 0
+        self._oldest_revision = 0
         self._changed = asyncio.Condition()
         self._server: asyncio.Server | None = None
         self._writers: set[asyncio.StreamWriter] = set()
 
     async def open(self, address: tuple[str, int]) -> None:
-        """Listen."""
+        """Listen at ``address``."""
         self._server = await asyncio.start_server(self._serve, *address)
 
     async def close(self) -> None:
-        """Stop listening and cut all connections."""
+        """Stop listening and close all connections."""
         if self._server:
             self._server.close()
         for writer in self._writers:
             writer.close()
 
     async def put(self, key: str, content: bytes | None) -> None:
-        """Write an item, or remove it."""
+        """Write an item, or remove it if ``content`` is None."""
         self._revision += 1
         item = Item(key, content, self._revision)
         if content is None:
@@ -62,9 +62,9 @@
             self._changed.notify_all()
 
     def compact(self) -> None:
-        """Forget the history."""
+        """Delete the history."""
         self._history.clear()
-        self._oldest = self._revision
+        self._oldest_revision = self._revision
 
     async def _serve(
         self,
@@ -78,10 +78,10 @@
                 head = await reader.readuntil(b'\r\n\r\n')
                 await self._answer(head.split(b' ')[1].decode(), ip, writer)
         except (asyncio.IncompleteReadError, ConnectionError):
-            # The caller has gone.
+            # The caller has closed the connection.
             return
         except asyncio.CancelledError:
-            # The event loop ends; nobody waits for this task.
+            # The event loop is closing and nothing awaits this task.
             return
         finally:
             self._writers.discard(writer)
@@ -117,24 +117,26 @@
             for key in self._items
             if key.startswith(call.prefix) and key > call.after
         )
-        items = [self._items[key] for key in keys[:_PAGE]]
-        more = len(keys) > _PAGE
+        items = [self._items[key] for key in keys[:_PAGE_SIZE]]
+        more = len(keys) > _PAGE_SIZE
         return encode_page(items, self._revision, more=more)
 
     async def _watch(self, call: Call) -> tuple[int, bytes]:
         after = int(call.after)
-        if after < self._oldest:
+        if after < self._oldest_revision:
             return _GONE, b'{}'
         try:
             async with asyncio.timeout(call.wait_s), self._changed:
-                await self._changed.wait_for(lambda: self._since(call, after))
+                await self._changed.wait_for(
+                    lambda: self._changes_since(call, after)
+                )
         except TimeoutError:
             # Nothing has changed.
             return _OK, encode_page([], self._revision, watch=True)
-        found = self._since(call, after)
+        found = self._changes_since(call, after)
         return _OK, encode_page(found, self._revision, watch=True)
 
-    def _since(self, call: Call, after: int) -> list[Item]:
+    def _changes_since(self, call: Call, after: int) -> list[Item]:
         return [
             item
             for item in self._history
--- a/siskinbank/lab/sites.py
+++ b/siskinbank/lab/sites.py
@@ -21,9 +21,13 @@
 
 @dataclass(slots=True)
 class PoolPlan:
-    """The hosts of the service by number, with their states.
+    """The hosts of the service, from which sites are made.
 
-    ``centres`` names the data centre of each host, ``a`` by default.
+    Attributes:
+        states: state of each host by number.
+        out: data centres out of service.
+        centres: data centre of each host; ``a`` if missing.
+        generation: generation of the last site.
     """
 
     states: dict[int, str]
@@ -32,7 +36,7 @@
     generation: int = 0
 
     def next_site(self) -> Site:
-        """Return the site of the plan under the next generation."""
+        """Return the site as the next generation."""
         self.generation += 1
         names = {'a', *self.out, *self.centres.values()}
         document = {
--- a/siskinbank/lab/standins/__init__.py
+++ b/siskinbank/lab/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins of platform, fabric, upstream and callers."""
+"""Stand-ins for the platform, the fabric, upstreams and callers."""
--- a/siskinbank/lab/standins/fabric.py
+++ b/siskinbank/lab/standins/fabric.py
@@ -1,4 +1,4 @@
-"""A stand-in of the fabric: sprays each packet over the live entries."""
+"""A stand-in for the fabric: sprays packets over the live entries."""
 
 import asyncio
 import random
@@ -15,7 +15,7 @@
 
 
 class FabricStandIn:
-    """Hands any packet to any entry that the platform lists as live."""
+    """Forwards each packet to a random entry that is listed as live."""
 
     def __init__(
         self,
@@ -23,7 +23,13 @@
         platform: PlatformClient,
         seed: int,
     ) -> None:
-        """Spray over ``entries``, by instance name."""
+        """Initialize a fabric.
+
+        Args:
+            entries: addresses of the entries by instance name.
+            platform: client that reads the live list.
+            seed: seed of the choice of entries.
+        """
         self._entries = entries
         self._platform = platform
         self._rng = random.Random(seed)
@@ -31,7 +37,7 @@
         self._transport: asyncio.DatagramTransport | None = None
 
     async def run(self, address: Address) -> None:
-        """Serve until cancelled."""
+        """Forward packets received at ``address`` until cancelled."""
         self._transport = await open_udp(address, self._spray)
         while True:
             await self._refresh()
--- a/siskinbank/lab/standins/health.py
+++ b/siskinbank/lab/standins/health.py
@@ -1,4 +1,4 @@
-"""The health endpoint of an upstream stand-in: it can lie, lag and hang."""
+"""The health endpoint of an upstream stand-in, with faults."""
 
 import asyncio
 import enum
@@ -16,7 +16,12 @@
 
 
 class HealthMode(enum.StrEnum):
-    """How the endpoint behaves."""
+    """How the endpoint answers.
+
+    ``says_cold`` and ``says_bad`` report a state that is not the true one,
+    ``lags`` reports the state before a restart for the first seconds after
+    it, and ``hangs`` does not answer.
+    """
 
     true = 'true'
     says_cold = 'says-cold'
@@ -28,18 +33,18 @@
 class HealthEndpoint:
     """Reports state, incarnation and uptime at ``/health``.
 
-    ``PUT /health?mode=MODE`` changes how it behaves, and ``PUT
-    /health?restart=1`` starts a new incarnation.
+    ``PUT /health?mode=MODE`` sets the mode, and ``PUT /health?restart=1``
+    starts a new incarnation.
     """
 
     def __init__(self) -> None:
-        """Start a first incarnation that tells the truth."""
+        """Initialize the first incarnation, which reports its true state."""
         self.mode = HealthMode.true
-        self._earlier: dict[str, Any] = {'status': 'ok'}
+        self._previous_state: dict[str, Any] = {'status': 'ok'}
         self.restart()
 
     def add_to(self, app: web.Application) -> None:
-        """Serve on an application."""
+        """Add the routes to an application."""
         app.router.add_get('/health', self._report)
         app.router.add_put('/health', self._change)
 
@@ -56,7 +61,7 @@
             except ValueError as error:
                 raise web.HTTPBadRequest(text=str(error)) from error
         if 'restart' in request.query:
-            self._earlier = self._state()
+            self._previous_state = self._state()
             self.restart()
         return web.json_response(self._state())
 
@@ -65,7 +70,7 @@
         if self.mode is HealthMode.hangs:
             await asyncio.sleep(_HANG_SECONDS)
         if self.mode is HealthMode.lags and state['uptime'] < _LAG_SECONDS:
-            state = self._earlier
+            state = self._previous_state
         if self.mode is HealthMode.says_cold:
             state['status'] = 'cold'
         if self.mode is HealthMode.says_bad:
--- a/siskinbank/lab/standins/packet_callers.py
+++ b/siskinbank/lab/standins/packet_callers.py
@@ -1,4 +1,4 @@
-"""Callers whose packets go through the fabric."""
+"""Callers that send packets through the fabric."""
 
 import asyncio
 import contextlib
@@ -24,8 +24,8 @@
 __all__ = ('PacketCallers',)
 
 _RETRANSMIT_SECONDS = 0.3
-_GIVE_UP_SECONDS = 5
-_PACE_SECONDS = 0.2
+_ANSWER_TIMEOUT_SECONDS = 5
+_INTERVAL_SECONDS = 0.2
 _FIRST_PORT = 1024
 _LAST_PORT = 65000
 
@@ -40,7 +40,7 @@
     """Opens flows, sends numbered packets and checks each answer."""
 
     def __init__(self, fabric: Address, seed: int) -> None:
-        """Send packets to ``fabric``."""
+        """Initialize callers that send packets to ``fabric``."""
         self._fabric = fabric
         self._rng = random.Random(seed)
         self._flows: dict[tuple[bytes, int], _OpenFlow] = {}
@@ -48,11 +48,11 @@
         self.reports: list[FlowReport] = []
 
     async def open(self, address: Address) -> None:
-        """Take the answers of upstreams at ``address``."""
+        """Receive the upstreams' answers at ``address``."""
         self._transport = await open_udp(address, self._receive)
 
     async def run_flow(self, service: Address, seconds: float) -> None:
-        """Keep one flow open for a while."""
+        """Keep one flow open for ``seconds``."""
         number = self._rng.randrange(1 << 16)
         flow = Flow(
             f'10.9.{number >> 8}.{number & 0xFF}',
@@ -62,30 +62,32 @@
         report = FlowReport('fou', opened_at=time.time())
         self.reports.append(report)
         key = (socket.inet_aton(flow.source), flow.source_port)
-        opened = _OpenFlow(flow)
-        self._flows[key] = opened
+        open_flow = _OpenFlow(flow)
+        self._flows[key] = open_flow
         try:
-            report.result = await self._talk(opened, report, seconds)
+            report.result = await self._send_numbered(
+                open_flow, report, seconds
+            )
         finally:
             report.ended_at = time.time()
             self._flows.pop(key, None)
 
-    async def _talk(
+    async def _send_numbered(
         self,
-        opened: _OpenFlow,
+        open_flow: _OpenFlow,
         report: FlowReport,
         seconds: float,
     ) -> FlowResult:
-        answer = await self._exchange(opened, SYN, b'')
+        answer = await self._exchange(open_flow, SYN, b'')
         if answer is None or answer.flags & RST:
             return FlowResult.refused
         report.host = payload_of(answer.raw).decode()
         number = 0
-        until = time.time() + seconds
-        while time.time() < until:
+        deadline = time.time() + seconds
+        while time.time() < deadline:
             number += 1
             sent = str(number).encode()
-            answer = await self._exchange(opened, ACK, sent)
+            answer = await self._exchange(open_flow, ACK, sent)
             if answer is None:
                 return FlowResult.silent
             if answer.flags & RST:
@@ -95,34 +97,36 @@
             if report.host != host:
                 report.reset_by = host
                 return FlowResult.moved
-            await asyncio.sleep(_PACE_SECONDS)
-        self._send(make_packet(opened.flow, FIN | ACK))
+            await asyncio.sleep(_INTERVAL_SECONDS)
+        self._send(make_packet(open_flow.flow, FIN | ACK))
         return FlowResult.whole
 
     async def _exchange(
         self,
-        opened: _OpenFlow,
+        open_flow: _OpenFlow,
         flags: int,
         payload: bytes,
     ) -> InnerPacket | None:
-        """Send until answered; None after a while of silence."""
-        packet = make_packet(opened.flow, flags, payload)
-        until = time.time() + _GIVE_UP_SECONDS
-        while time.time() < until:
+        """Retransmit until answered; return None after a timeout."""
+        packet = make_packet(open_flow.flow, flags, payload)
+        deadline = time.time() + _ANSWER_TIMEOUT_SECONDS
+        while time.time() < deadline:
             self._send(packet)
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(_RETRANSMIT_SECONDS):
-                    return await self._matching(opened, flags, payload)
+                    return await self._receive_matching(
+                        open_flow, flags, payload
+                    )
         return None
 
-    async def _matching(
+    async def _receive_matching(
         self,
-        opened: _OpenFlow,
+        open_flow: _OpenFlow,
         flags: int,
         payload: bytes,
     ) -> InnerPacket:
         while True:
-            answer = await opened.answers.get()
+            answer = await open_flow.answers.get()
             if answer.flags & RST:
                 return answer
             if flags & SYN and answer.flags & SYN:
@@ -138,6 +142,6 @@
         packet = parse_inner(datagram)
         if packet is None:
             return
-        opened = self._flows.get((packet.target, packet.target_port))
-        if opened is not None:
-            opened.answers.put_nowait(packet)
+        open_flow = self._flows.get((packet.target, packet.target_port))
+        if open_flow is not None:
+            open_flow.answers.put_nowait(packet)
--- a/siskinbank/lab/standins/packets.py
+++ b/siskinbank/lab/standins/packets.py
@@ -1,4 +1,4 @@
-"""Make the IPv4 packets that callers and upstreams exchange in the lab."""
+"""Build the IPv4 packets that callers and upstreams exchange in the lab."""
 
 import socket
 import struct
@@ -26,7 +26,7 @@
 _TIME_TO_LIVE = 64
 _TCP_PROTOCOL = 6
 _UDP_PROTOCOL = 17
-_TCP_LENGTH = 0x50
+_TCP_DATA_OFFSET = 0x50
 _WINDOW = 65535
 _IP = struct.Struct('!BBHHHBBH4s4s')
 _TCP = struct.Struct('!HHIIBBHHH')
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Flow:
-    """The addresses of one flow as its sender sees them."""
+    """The addresses of a flow in the direction of its sender."""
 
     source: str
     source_port: int
@@ -43,7 +43,7 @@
     target_port: int
 
     def reverse(self) -> 'Flow':
-        """Return the flow as the other side sees it."""
+        """Return the addresses for the opposite direction."""
         return Flow(
             self.target,
             self.target_port,
@@ -55,7 +55,7 @@
 def make_packet(flow: Flow, flags: int, payload: bytes = b'') -> bytes:
     """Return an IPv4 packet with a TCP segment; checksums are left zero."""
     size = _IP_BYTES + _TCP_BYTES + len(payload)
-    head = _IP.pack(
+    ip_header = _IP.pack(
         _VERSION_AND_LENGTH,
         0,
         size,
@@ -72,18 +72,18 @@
         flow.target_port,
         0,
         0,
-        _TCP_LENGTH,
+        _TCP_DATA_OFFSET,
         flags,
         _WINDOW,
         0,
         0,
     )
-    return b''.join((head, segment, payload))
+    return b''.join((ip_header, segment, payload))
 
 
 def make_udp(flow: Flow, payload: bytes = b'') -> bytes:
     """Return an IPv4 packet with a UDP datagram; checksums are left zero."""
-    head = _IP.pack(
+    ip_header = _IP.pack(
         _VERSION_AND_LENGTH,
         0,
         _IP_BYTES + _UDP.size + len(payload),
@@ -96,10 +96,10 @@
         socket.inet_aton(flow.target),
     )
     size = _UDP.size + len(payload)
-    lead = _UDP.pack(flow.source_port, flow.target_port, size, 0)
-    return b''.join((head, lead, payload))
+    udp_header = _UDP.pack(flow.source_port, flow.target_port, size, 0)
+    return b''.join((ip_header, udp_header, payload))
 
 
 def payload_of(raw: bytes) -> bytes:
-    """Return what a packet made by ``make_packet`` carries."""
+    """Return the payload of a packet made by ``make_packet``."""
     return raw[_IP_BYTES + _TCP_BYTES :]
--- a/siskinbank/lab/standins/platform.py
+++ b/siskinbank/lab/standins/platform.py
@@ -1,4 +1,4 @@
-"""A stand-in of the platform: configuration service and live list."""
+"""A stand-in for the platform: configuration service and live list."""
 
 import asyncio
 import json
@@ -14,10 +14,15 @@
 
 
 class PlatformStandIn:
-    """Publishes what it is told over its admin paths."""
+    """Serves what is published through its admin paths.
+
+    Attributes:
+        calls: number of calls to its API.
+        down: whether its API answers with errors.
+    """
 
     def __init__(self) -> None:
-        """Start with nothing published."""
+        """Initialize a platform with nothing published."""
         self._manifest: dict[str, Any] = {'generation': 0, 'sections': {}}
         self._sections: dict[str, str] = {}
         self._instances: list[dict[str, Any]] = []
@@ -38,7 +43,7 @@
         return app
 
     async def publish(self, published: dict[str, Any]) -> None:
-        """Publish a manifest with its sections."""
+        """Publish a manifest and its sections."""
         async with self._changed:
             self._manifest = published['manifest']
             self._sections = published['sections']
@@ -81,13 +86,13 @@
 
     async def _get_instances(self, request: web.Request) -> web.Response:
         raw = canonical_json(self._instances)
-        tag = f'"{hex_digest(raw)}"'
-        if request.headers.get('If-None-Match') == tag:
-            return web.Response(status=304, headers={'ETag': tag})
+        etag = f'"{hex_digest(raw)}"'
+        if request.headers.get('If-None-Match') == etag:
+            return web.Response(status=304, headers={'ETag': etag})
         answer = web.Response(
             body=raw,
             content_type='application/json',
-            headers={'ETag': tag},
+            headers={'ETag': etag},
         )
         answer.enable_compression()
         return answer
--- a/siskinbank/lab/standins/report.py
+++ b/siskinbank/lab/standins/report.py
@@ -1,4 +1,4 @@
-"""What callers saw."""
+"""Reports of callers on their flows and requests."""
 
 import enum
 from dataclasses import dataclass
@@ -7,7 +7,11 @@
 
 
 class FlowResult(enum.StrEnum):
-    """How a flow went."""
+    """The result of a flow.
+
+    ``silent`` means that the answers stopped, ``moved`` that an answer came
+    from another host or to other data.
+    """
 
     whole = 'whole'
     refused = 'refused'
@@ -18,9 +22,10 @@
 
 @dataclass(slots=True)
 class FlowReport:
-    """One flow as its caller saw it; times are in seconds since 1970.
+    """One flow as seen by its caller; times are in seconds since 1970.
 
-    ``host`` took the flow; ``reset_by`` is the one that ended it, if any.
+    ``host`` accepted the flow; ``reset_by`` is the host that reset it or
+    answered instead, if any.
     """
 
     ingress: str
@@ -33,21 +38,21 @@
 
     @property
     def established(self) -> bool:
-        """Whether an upstream took the flow."""
+        """Whether an upstream accepted the flow."""
         return self.result is not FlowResult.refused
 
     @property
     def broken(self) -> bool:
-        """Whether the flow did not live as long as its caller wanted."""
+        """Whether the flow ended before its caller closed it."""
         return self.established and self.result is not FlowResult.whole
 
 
 @dataclass(slots=True)
 class RequestReport:
-    """One request as its caller saw it; times are in seconds since 1970.
+    """One request as seen by its caller; times are in seconds since 1970.
 
-    ``doubted`` says that there was more than one attempt and that an earlier
-    one may have run; ``lost_at`` is the entry that cut one without an answer.
+    ``doubted`` is true if the request was sent again, or if an attempt failed
+    that may have run; ``lost_at`` is the entry at which that attempt failed.
     """
 
     key: str
--- a/siskinbank/lab/standins/request_callers.py
+++ b/siskinbank/lab/standins/request_callers.py
@@ -1,4 +1,4 @@
-"""Callers with HTTP requests to the entries."""
+"""Callers that send HTTP requests to the entries."""
 
 import itertools
 import random
@@ -21,10 +21,11 @@
 
 
 class RequestCallers:
-    """Sends requests and tells whole answers from refusals and doubt.
+    """Sends requests and records answers, refusals and unknown outcomes.
 
-    Idempotent requests, and those that are sent again, are plain HTTP as any
-    caller sends it; the others go through the library's client with a ticket.
+    Idempotent requests, and those that are sent again, are plain HTTP
+    requests as any caller sends them. The others are sent by the library's
+    client, with a ticket.
     """
 
     def __init__(
@@ -33,9 +34,13 @@
         seed: int,
         resent: float = 0,
     ) -> None:
-        """Send to the entries at ``urls``, a share ``resent`` twice.
+        """Initialize callers of the entries at ``urls``.
 
-        Only requests that are not idempotent are sent again, with their key.
+        Args:
+            urls: URLs of the services on the entries.
+            seed: seed of the random choices.
+            resent: share of the requests that are not idempotent which is
+                sent a second time with the same key.
         """
         self._resent = resent
         self._urls = urls
@@ -44,13 +49,13 @@
         self._numbers = itertools.count()
         self._session: aiohttp.ClientSession | None = None
         self._clients = {
-            port: RequestClient(self._of_service(port), self._rng)
+            port: RequestClient(self._service_urls(port), self._rng)
             for port in sorted(set(map(_port, urls)))
         }
         self.reports: list[RequestReport] = []
 
     async def run_request(self) -> None:
-        """Send one request and note its outcome."""
+        """Send one request and record its outcome."""
         number = next(self._numbers)
         idempotent = number % 2 == 0
         key = f'{self._seed}-{number}'
@@ -72,8 +77,8 @@
         for client in self._clients.values():
             await client.close()
 
-    def _of_service(self, port: str) -> list[str]:
-        """Return the URLs of one service, in any order."""
+    def _service_urls(self, port: str) -> list[str]:
+        """Return the URLs of one service in random order."""
         urls = [url for url in self._urls if _port(url) == port]
         return self._rng.sample(urls, len(urls))
 
@@ -88,7 +93,7 @@
         outcome = await self._clients[service].send(work)
         if isinstance(outcome, Reply):
             key = outcome.headers.get('X-Key', '')
-            report.outcome = _judge(report, outcome.body, key)
+            report.outcome = _check_answer(report, outcome.body, key)
         else:
             report.outcome = outcome.tag
             report.reason = outcome.reason.value
@@ -100,18 +105,18 @@
         *,
         resends: bool,
     ) -> None:
-        for url in self._of_service(service):
+        for url in self._service_urls(service):
             report.entry = url
-            if await self._try(url, report):
+            if await self._try_entry(url, report):
                 if not resends:
                     return
                 report.doubted = True
                 resends = False
 
-    async def _try(self, url: str, report: RequestReport) -> bool:
-        """Return whether the request is done with."""
+    async def _try_entry(self, url: str, report: RequestReport) -> bool:
+        """Send the request; return whether it is not to be tried elsewhere."""
         try:
-            await self._ask(url, report)
+            await self._post(url, report)
         except aiohttp.ClientConnectorError:
             return False
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
@@ -121,7 +126,7 @@
             return not report.idempotent
         return True
 
-    async def _ask(self, url: str, report: RequestReport) -> None:
+    async def _post(self, url: str, report: RequestReport) -> None:
         if self._session is None:
             self._session = aiohttp.ClientSession()
         body = f'match {report.key}'
@@ -143,15 +148,15 @@
                 report.reason = problem['reason']
             else:
                 key = answer.headers.get('X-Key', '')
-                report.outcome = _judge(report, received, key)
+                report.outcome = _check_answer(report, received, key)
 
 
 def _port(url: str) -> str:
-    """Return the port of a URL; each service has its own."""
+    """Return the port of a URL, which identifies the service."""
     return url.rpartition(':')[2]
 
 
-def _judge(report: RequestReport, body: bytes, key: str) -> str:
-    """Return whether an answer is whole and belongs to its request."""
-    same = body == f'match {report.key}'.encode() and key == report.key
-    return 'whole' if same else 'crossed'
+def _check_answer(report: RequestReport, body: bytes, key: str) -> str:
+    """Return the outcome: whether an answer belongs to its request."""
+    matches = body == f'match {report.key}'.encode() and key == report.key
+    return 'whole' if matches else 'crossed'
--- a/siskinbank/lab/standins/stream_callers.py
+++ b/siskinbank/lab/standins/stream_callers.py
@@ -1,4 +1,4 @@
-"""Callers with plain connections to the entries."""
+"""Callers that open plain TCP connections to the entries."""
 
 import asyncio
 import itertools
@@ -12,19 +12,19 @@
 
 __all__ = ('ConnectionCallers',)
 
-_PACE_SECONDS = 0.2
-_ANSWER_SECONDS = 5
+_INTERVAL_SECONDS = 0.2
+_ANSWER_TIMEOUT_SECONDS = 5
 
 
 class ConnectionCallers:
-    """Keeps plain connections open and checks each answer."""
+    """Keeps TCP connections open and checks each answer."""
 
     def __init__(self) -> None:
-        """Start without flows."""
+        """Initialize callers without flows."""
         self.reports: list[FlowReport] = []
 
     async def run_flow(self, entry: Address, seconds: float) -> None:
-        """Keep one connection open for a while."""
+        """Keep one connection open for ``seconds``."""
         label = '{0}:{1}'.format(*entry)
         report = FlowReport('tcp', opened_at=time.time(), entry=label)
         self.reports.append(report)
@@ -34,27 +34,29 @@
             report.result = FlowResult.refused
             return
         try:
-            report.result = await self._talk(reader, writer, report, seconds)
+            report.result = await self._send_lines(
+                reader, writer, report, seconds
+            )
         except (OSError, TimeoutError):
             report.result = FlowResult.silent
         finally:
             report.ended_at = time.time()
             writer.close()
 
-    async def _talk(
+    async def _send_lines(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
         report: FlowReport,
         seconds: float,
     ) -> FlowResult:
-        until = time.time() + seconds
+        deadline = time.time() + seconds
         for number in itertools.count():
-            if time.time() >= until:
+            if time.time() >= deadline:
                 return FlowResult.whole
             line = f'{number}\n'.encode()
             writer.write(line)
-            async with asyncio.timeout(_ANSWER_SECONDS):
+            async with asyncio.timeout(_ANSWER_TIMEOUT_SECONDS):
                 answer = await reader.readline()
             if not answer:
                 return FlowResult.silent if report.host else FlowResult.refused
@@ -62,5 +64,5 @@
             if echoed != line:
                 return FlowResult.moved
             report.host = host.decode()
-            await asyncio.sleep(_PACE_SECONDS)
+            await asyncio.sleep(_INTERVAL_SECONDS)
         return FlowResult.whole
--- a/siskinbank/lab/standins/upstream.py
+++ b/siskinbank/lab/standins/upstream.py
@@ -1,4 +1,4 @@
-"""A stand-in of an upstream: packets, plain connections and requests."""
+"""A stand-in for an upstream: packets, TCP connections and requests."""
 
 import asyncio
 import math
@@ -25,26 +25,31 @@
 
 __all__ = ('ColdStart', 'UpstreamStandIn')
 
-_BUCKETS_A_SECOND = 10
+_BUCKETS_PER_SECOND = 10
 _CHUNK_BYTES = 64 * 1024
 
 
 @dataclass(frozen=True, slots=True)
 class ColdStart:
-    """The requests borne at first, and the seconds until all are."""
+    """The capacity right after a start, and the warm-up time.
+
+    Attributes:
+        slots: requests in progress that are allowed at the start.
+        warm_up_seconds: seconds until full capacity.
+    """
 
     slots: int
     warm_up_seconds: float
 
-    def bears(self, age: float, slots: int) -> float:
-        """Return the requests borne at once at ``age`` seconds."""
+    def capacity(self, age: float, slots: int) -> float:
+        """Return the allowed requests in progress at ``age`` seconds."""
         if age >= self.warm_up_seconds:
             return slots
         return self.slots + (slots - self.slots) * age / self.warm_up_seconds
 
 
 class UpstreamStandIn:
-    """Answers with its own name, so that callers see who served them."""
+    """Answers with its own name, so that callers know their upstream."""
 
     def __init__(
         self,
@@ -53,16 +58,21 @@
         slots: int,
         cold: ColdStart | None = None,
     ) -> None:
-        """Send packet answers to ``callers`` and bear ``slots`` requests.
-
-        A cold start bears less at first; what comes beyond it is counted.
+        """Initialize an upstream without flows and requests.
+
+        Args:
+            name: name in its answers.
+            callers: address that answers to packets are sent to.
+            slots: requests that are processed at once; others wait.
+            cold: lower capacity after the start. Requests above it are
+                counted but not refused.
         """
         self._cold = cold or ColdStart(slots, 0)
         self._started_at = time.monotonic()
         self._running = 0
         self._starts: Counter[int] = Counter()
-        self._most_slots = slots
-        self._over = 0
+        self._max_slots = slots
+        self._over_limit = 0
         self._name = name
         self._callers = callers
         self._slots = asyncio.Semaphore(slots)
@@ -73,15 +83,15 @@
         self._runs: Counter[str] = Counter()
 
     async def serve_packets(self, address: Address) -> None:
-        """Take IP-in-UDP packets."""
+        """Receive IP-in-UDP packets at ``address``."""
         self._transport = await open_udp(address, self._receive)
 
     async def serve_tcp(self, address: Address) -> None:
-        """Answer each chunk on a connection with name and chunk."""
+        """Answer each chunk received on a connection with name and chunk."""
         await asyncio.start_server(self._echo, *address)
 
     async def serve_http(self, address: Address) -> None:
-        """Answer requests; ``/stats`` tells what arrived when."""
+        """Answer requests; ``/stats`` reports arrivals, starts and runs."""
         app = web.Application(client_max_size=1 << 30)
         app.router.add_get('/stats', self._stats)
         HealthEndpoint().add_to(app)
@@ -98,7 +108,7 @@
         packet = parse_inner(datagram)
         if packet is None:
             return
-        bucket = int(time.time() * _BUCKETS_A_SECOND)
+        bucket = int(time.time() * _BUCKETS_PER_SECOND)
         self._arrivals[bucket] += 1
         self._targets.add((packet.target, packet.target_port))
         flow = (packet.source, packet.source_port)
@@ -134,13 +144,13 @@
         writer: asyncio.StreamWriter,
     ) -> None:
         name = self._name.encode()
-        # A probe only connects; work starts with the first byte.
-        fresh = True
+        # A probe connects without sending, so the first byte starts the work.
+        is_first_chunk = True
         try:
             while chunk := await reader.read(_CHUNK_BYTES):
-                if fresh:
-                    self._starts[int(time.time() * _BUCKETS_A_SECOND)] += 1
-                fresh = False
+                if is_first_chunk:
+                    self._starts[int(time.time() * _BUCKETS_PER_SECOND)] += 1
+                is_first_chunk = False
                 writer.write(name + b' ' + chunk)
                 await writer.drain()
         except OSError:
@@ -150,7 +160,7 @@
 
     async def _answer(self, request: web.Request) -> web.Response:
         key = request.headers.get('Idempotency-Key', '')
-        self._begin()
+        self._count_start()
         try:
             async with self._slots:
                 self._runs[key] += 1
@@ -164,12 +174,12 @@
             headers={'X-Host': self._name, 'X-Key': key},
         )
 
-    def _begin(self) -> None:
+    def _count_start(self) -> None:
         self._running += 1
-        self._starts[int(time.time() * _BUCKETS_A_SECOND)] += 1
+        self._starts[int(time.time() * _BUCKETS_PER_SECOND)] += 1
         age = time.monotonic() - self._started_at
-        if self._running > math.ceil(self._cold.bears(age, self._most_slots)):
-            self._over += 1
+        if self._running > math.ceil(self._cold.capacity(age, self._max_slots)):
+            self._over_limit += 1
 
     async def _stats(self, _request: web.Request) -> web.Response:
         return web.json_response(
@@ -177,7 +187,7 @@
                 'name': self._name,
                 'arrivals': dict(self._arrivals),
                 'starts': dict(self._starts),
-                'over_limit': self._over,
+                'over_limit': self._over_limit,
                 'targets': sorted(
                     f'{socket.inet_ntoa(number)}:{port}'
                     for number, port in self._targets
--- a/siskinbank/lab/virtual.py
+++ b/siskinbank/lab/virtual.py
@@ -1,4 +1,4 @@
-"""Processes in virtual time: the real dissemination over a fake network."""
+"""Nodes in virtual time: the real gossip code over a simulated network."""
 
 import functools
 import random
@@ -23,20 +23,20 @@
 
 
 class QuietLog(events.EventLog):
-    """Counts events by number and writes none."""
+    """Counts events by number instead of writing them."""
 
     def __init__(self) -> None:
-        """Start with none."""
+        """Initialize all counts to 0."""
         super().__init__('lab', 'virtual')
-        self.numbers: Counter[int] = Counter()
+        self.event_counts: Counter[int] = Counter()
 
     def write(self, event: events.Event, **_fields: object) -> None:
         """Count one event."""
-        self.numbers[event.number] += 1
+        self.event_counts[event.number] += 1
 
 
 class VirtualTimers:
-    """A timer service whose callbacks wait while the process is paused."""
+    """A timer service that defers callbacks while the process is paused."""
 
     def __init__(
         self,
@@ -44,11 +44,11 @@
         clock: FakeClock,
         rng: random.Random,
     ) -> None:
-        """Run on the network's queue."""
+        """Initialize a timer service that uses the network's event queue."""
         self._network = network
         self._clock = clock
         self._rng = rng
-        self._waiting: list[Callable[[], None]] = []
+        self._deferred: list[Callable[[], None]] = []
         self.paused = False
         self.stopped = False
 
@@ -63,56 +63,66 @@
         callback: Callable[[], None],
         jitter: float = 0,
     ) -> None:
-        """Call ``callback`` each ``interval`` seconds."""
+        """Call ``callback`` every ``interval`` seconds.
 
-        def again() -> None:
+        ``jitter`` is the largest deviation, as a share of the interval.
+        """
+
+        def repeat() -> None:
             callback()
             spread = self._rng.uniform(-jitter, jitter) * interval
-            self.after(interval + spread, again)
+            self.after(interval + spread, repeat)
 
-        self.after(interval * self._rng.random(), again)
+        self.after(interval * self._rng.random(), repeat)
 
     def after(self, delay: float, callback: Callable[[], None]) -> None:
-        """Call ``callback`` once."""
+        """Call ``callback`` once after ``delay`` seconds."""
         self._network.after(delay, functools.partial(self._run, callback))
 
     def resume(self) -> None:
-        """Go on after a pause; what is late runs at once."""
+        """End a pause and run the deferred callbacks."""
         self.paused = False
-        waiting, self._waiting = self._waiting, []
-        for callback in waiting:
+        deferred, self._deferred = self._deferred, []
+        for callback in deferred:
             self._run(callback)
 
     def _run(self, callback: Callable[[], None]) -> None:
         if self.stopped:
             return
         if self.paused:
-            self._waiting.append(callback)
+            self._deferred.append(callback)
         else:
             callback()
 
 
-_Judged = tuple[Site | None, Findings]
-_judged: dict[DocumentKey, _Judged] = {}
+_Validated = tuple[Site | None, Findings]
+_validated: dict[DocumentKey, _Validated] = {}
 
 
-def _judge_once(
+def _validate_once(
     manifest: Manifest,
     read_section: Callable[[str], bytes],
     findings: Findings,
 ) -> Site | None:
-    """Judge as the product does, but each document once for all nodes."""
+    """Validate as the product does, but each document once for all nodes."""
     key = manifest.key
-    if key not in _judged:
+    if key not in _validated:
         found = Findings()
-        _judged[key] = judge_document(manifest, read_section, found), found
-    site, found = _judged[key]
+        _validated[key] = judge_document(manifest, read_section, found), found
+    site, found = _validated[key]
     findings.extend(found)
     return site
 
 
 class VirtualNode:
-    """One process's dissemination, with what the experiments watch."""
+    """The gossip of one process, with a record of its state changes.
+
+    Attributes:
+        adopted: time and generation of each configuration put in force.
+        ever_gone: names of the processes that were ever known as gone.
+        leaving_at: time at which each process was first known as leaving.
+        gone_at: time at which each process was first known as gone.
+    """
 
     def __init__(
         self,
@@ -121,7 +131,7 @@
         clock: FakeClock,
         rng: random.Random,
     ) -> None:
-        """Bind to the identity's address."""
+        """Initialize a node and bind it to the identity's address."""
         self.identity = identity
         self.network = network
         self.timers = VirtualTimers(network, clock, rng)
@@ -130,7 +140,7 @@
         self.peers = PeerSocket(_KEYS, self.metrics)
         self.peers.use(network.bind(identity.address, self._receive))
         self.rng = rng
-        store = DocumentStore(self.log, self.metrics, _judge_once)
+        store = DocumentStore(self.log, self.metrics, _validate_once)
         self.gossip = Gossip(
             identity,
             store,
@@ -140,8 +150,8 @@
             self.metrics,
             rng,
         )
-        self.gossip.on_adopt = self._adopt
-        self.gossip.on_beliefs = self._note_beliefs
+        self.gossip.on_adopt = self._record_adopted
+        self.gossip.on_beliefs = self._record_leaving_and_gone
         self.gossip.subscribe_to(self.peers.subscribe)
         self.adopted: list[tuple[float, int]] = []
         self.ever_gone: set[str] = set()
@@ -155,15 +165,15 @@
         return self.gossip.store.in_force[0]
 
     def start(self) -> None:
-        """Start the dissemination."""
+        """Start the gossip."""
         self.gossip.start()
 
     def pause(self) -> None:
-        """Stop running; datagrams wait in the socket."""
+        """Suspend the process; datagrams are queued in the socket."""
         self.timers.paused = True
 
     def resume(self) -> None:
-        """Run again: what waits in the socket comes first."""
+        """Resume the process; queued datagrams come before timers."""
         self.timers.paused = False
         queued, self._queued = self._queued, []
         for datagram, sender in queued:
@@ -171,7 +181,7 @@
         self.timers.resume()
 
     def kill(self) -> None:
-        """End without warning."""
+        """Stop the process without announcing that it leaves."""
         self.timers.stopped = True
         self.network.unbind(self.identity.address)
 
@@ -181,10 +191,10 @@
         else:
             self.peers.receive(datagram, sender)
 
-    def _adopt(self, site: Site) -> None:
+    def _record_adopted(self, site: Site) -> None:
         self.adopted.append((self.timers.now, site.generation))
 
-    def _note_beliefs(self) -> None:
+    def _record_leaving_and_gone(self) -> None:
         now = self.timers.now
         self.ever_gone |= self.gossip.gone
         for name in self.gossip.leaving:
--- a/siskinbank/lab/virtual_fleet.py
+++ b/siskinbank/lab/virtual_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet in virtual time, its platform, and its readers."""
+"""A fleet in virtual time with its platform and readers."""
 
 import random
 from collections import Counter
@@ -30,80 +30,95 @@
 CENTRES = ('north-a', 'north-b', 'south-a', 'south-b')
 REGIONS = {name: name.split('-')[0] for name in CENTRES}
 _ENTRY_SHARE = 410 / 3610
-_HOSTS_A_SERVICE = 9
+_HOSTS_PER_SERVICE = 9
 _PORT = 7100
 _WATCH_SECONDS = 30
-_LOOK_SECONDS = 0.5
-_CALL_SECONDS = 0.005
+_READ_CHECK_SECONDS = 0.5
+_CALL_LATENCY_SECONDS = 0.005
 _SYNC_SECONDS = 1.0
 
 
 class VirtualPlatform:
-    """What is published, and how often it was asked."""
+    """The platform: serves what is published and counts calls.
+
+    Attributes:
+        manifest: manifest that is served.
+        sections: sections by digest.
+        instances: the live list.
+        down: whether calls fail.
+        reachable_region: the only region that reaches the platform, or empty.
+        conflicting: region whose replica serves another manifest, and that
+            manifest.
+        calls: number of calls in each second.
+        watchers: readers that wait for a change.
+    """
 
     def __init__(self, clock: FakeClock) -> None:
-        """Start empty."""
+        """Initialize a platform with nothing published."""
         self._clock = clock
         self.manifest = Manifest(0, {})
         self.sections: dict[bytes, bytes] = {}
         self.instances: list[Instance] = []
         self.down = False
         self.only_region = ''
-        self.other: tuple[str, Manifest] | None = None
+        self.conflicting: tuple[str, Manifest] | None = None
         self._previous = self.manifest
         self._latest = self.manifest
         self.calls: Counter[int] = Counter()
         self.watchers: list['VirtualReader'] = []
 
     def call(self, centre: str = '') -> bool:
-        """Count one call; return whether it is answered."""
+        """Count one call and return whether it is answered."""
         self.calls[int(self._clock.now)] += 1
         return not self.down and self.reaches(centre)
 
     def reaches(self, centre: str) -> bool:
-        """Whether a data centre reaches the service."""
+        """Return whether a data centre reaches the platform."""
         wanted = self.only_region
         return not wanted or not centre or REGIONS[centre] == wanted
 
     def go_back(self) -> None:
-        """Serve the document before the last one, as a stale replica does."""
+        """Serve the document before the latest one, as a stale replica does."""
         self._latest, self.manifest = self.manifest, self._previous
 
     def catch_up(self) -> None:
-        """Serve the last document again."""
+        """Serve the latest document again."""
         self.manifest = self._latest
 
     def rate(self, start: float, end: float) -> float:
-        """Return the calls a second from ``start`` to ``end``."""
+        """Return the mean calls per second from ``start`` to ``end``."""
         seconds = range(int(start), int(end))
         total = sum(self.calls[second] for second in seconds)
         return total / max(len(seconds), 1)
 
     def add(self, sections: Iterable[bytes]) -> None:
-        """Hold sections."""
+        """Add sections."""
         for raw in sections:
             self.sections[bytes.fromhex(hex_digest(raw))] = raw
 
     def manifest_for(self, centre: str) -> Manifest:
         """Return what the replica of a data centre's region serves."""
-        if self.other is not None and REGIONS[centre] == self.other[0]:
-            return self.other[1]
+        if (
+            self.conflicting is not None
+            and REGIONS[centre] == self.conflicting[0]
+        ):
+            return self.conflicting[1]
         return self.manifest
 
     def publish(self, manifest: Manifest, sections: Iterable[bytes]) -> None:
-        """Publish a document and wake the waiting watches."""
+        """Publish a document and answer the open watches."""
         self._previous, self.manifest = self.manifest, manifest
         self.add(sections)
         watchers, self.watchers = self.watchers, []
         for reader in watchers:
-            reader.wake()
+            reader.on_change()
 
 
 class VirtualReader:
-    """The reads of one process, decided by the product's own functions."""
+    """Reads the platform for one process, when the product would read it."""
 
     def __init__(self, node: VirtualNode, platform: VirtualPlatform) -> None:
-        """Read ``platform`` for ``node``."""
+        """Initialize a reader of ``platform`` for ``node``."""
         self.node = node
         self._platform = platform
         self._lists = ListReader(lambda: node.timers.now)
@@ -112,10 +127,10 @@
         self._backoff = Backoff(node.rng)
         self._retry_at: float = 0
         self._next_read: float = 0
-        node.timers.every(_LOOK_SECONDS, self.look, jitter=0.2)
+        node.timers.every(_READ_CHECK_SECONDS, self.read_if_due, jitter=0.2)
 
-    def look(self) -> None:
-        """Read if this process's rank asks for it."""
+    def read_if_due(self) -> None:
+        """Read the platform if a read is due for the process's rank."""
         gossip = self.node.gossip
         identity = gossip.identity
         now = gossip.now
@@ -137,7 +152,7 @@
             self._next_read = 0
             return
         if rank is not None and rank < READERS:
-            self._read_list(READS_APART)
+            self._read_list(LIST_READ_SECONDS)
             self._watch()
         elif not self._next_read:
             self._next_read = now + interval
@@ -146,13 +161,13 @@
             self._read_list(0)
             self._read_manifest()
 
-    def wake(self) -> None:
-        """A watch was answered."""
+    def on_change(self) -> None:
+        """Read the manifest after a watch was answered."""
         self._watching = False
-        self.node.timers.after(_CALL_SECONDS, self._take_manifest)
+        self.node.timers.after(_CALL_LATENCY_SECONDS, self._process_manifest)
 
     def _call(self) -> bool:
-        """Make a call; wait longer after each that fails."""
+        """Make a call; back off after each failure."""
         if self._platform.call(self.node.identity.data_centre):
             self._backoff.reset()
             return True
@@ -165,7 +180,9 @@
         centre = self.node.identity.data_centre
         manifest = self._platform.manifest_for(centre)
         if manifest.key != self.node.gossip.store.in_force:
-            self.node.timers.after(_CALL_SECONDS, self._take_manifest)
+            self.node.timers.after(
+                _CALL_LATENCY_SECONDS, self._process_manifest
+            )
         self._watching = True
         self._platform.watchers.append(self)
         self.node.timers.after(_WATCH_SECONDS, self._end_watch)
@@ -177,9 +194,9 @@
 
     def _read_manifest(self) -> None:
         if self._call():
-            self._take_manifest()
+            self._process_manifest()
 
-    def _take_manifest(self) -> None:
+    def _process_manifest(self) -> None:
         platform = self._platform
         gossip = self.node.gossip
         centre = self.node.identity.data_centre
@@ -195,12 +212,12 @@
                 gossip.store.put_raw(platform.sections[digest])
         gossip.offer(manifest.key)
 
-    def _read_list(self, apart: float) -> None:
+    def _read_list(self, interval: float) -> None:
         gossip = self.node.gossip
         if gossip.now < self._list_due:
             return
         spread = self.node.rng.uniform(0.8, 1.2)
-        self._list_due = gossip.now + apart * spread
+        self._list_due = gossip.now + interval * spread
         if not self._call():
             return
         gossip.note_read()
@@ -208,14 +225,23 @@
         gossip.take_records(records)
 
 
-READS_APART = READ_SECONDS * READERS
+LIST_READ_SECONDS = READ_SECONDS * READERS
 
 
 class VirtualFleet:
-    """Nodes by name, their platform, and the document that is published."""
+    """Nodes in virtual time, their platform and the published document.
+
+    Attributes:
+        nodes: the running nodes by name.
+        stopped_nodes: the nodes that were killed.
+        generation: number of the published generation.
+        instances: all planned instances.
+        document: the document to publish.
+        data_centre_of: data centre of each node's address.
+    """
 
     def __init__(self, size: int, seed: int) -> None:
-        """Plan ``size`` processes in four data centres of two regions."""
+        """Initialize ``size`` instances in four data centres of two regions."""
         self.rng = random.Random(seed)
         self.clock = FakeClock(now=1000)
         self.network = FakeNetwork(self.clock, random.Random(seed + 1))
@@ -223,24 +249,24 @@
         self.nodes: dict[str, VirtualNode] = {}
         self.left: list[VirtualNode] = []
         self.generation = 0
-        self._epoch = 1
+        self._incarnation = 1
         entries = max(round(size * _ENTRY_SHARE), 1)
         self.instances = [
             _instance(number, number < entries) for number in range(size)
         ]
         self.document = _document(self.instances)
-        self.place = {
+        self.data_centre_of = {
             instance.address: instance.data_centre
             for instance in self.instances
         }
 
     @property
     def alive(self) -> list[VirtualNode]:
-        """The nodes that run."""
+        """The running nodes."""
         return list(self.nodes.values())
 
     def start(self) -> None:
-        """Start all nodes with generation 1 in force and in one mind."""
+        """Start all nodes with generation 1 in force and the same roster."""
         self.publish()
         self.platform.instances = list(self.instances)
         roster, _news = Roster().merged(
@@ -248,7 +274,7 @@
         )
         first: VirtualNode | None = None
         for instance in self.instances:
-            node = self._make(instance)
+            node = self._create_node(instance)
             node.gossip.roster = roster
             if first is None:
                 self._load(node)
@@ -264,29 +290,29 @@
         self.platform.publish(*self._render(change, self.generation))
 
     def publish_conflict(self) -> None:
-        """Publish two documents with one number, one in each region."""
+        """Publish two documents with one generation, one in each region."""
         self.generation += 1
         south, sections = self._render(0, -1)
         self.platform.add(sections)
-        self.platform.other = ('south', south)
+        self.platform.conflicting = ('south', south)
         self.platform.publish(*self._render(0, 1))
 
     def run(self, seconds: float) -> None:
-        """Let virtual time pass."""
+        """Run for ``seconds`` of virtual time."""
         self.network.run(seconds)
 
     def kill(self, name: str) -> VirtualNode:
-        """End a process without warning."""
+        """Stop a process without announcing that it leaves."""
         node = self.nodes.pop(name)
         node.kill()
         self.left.append(node)
         return node
 
     def restart(self, name: str) -> VirtualNode:
-        """Start a process anew that knows only the platform's list."""
+        """Restart a process, which then knows the platform's list only."""
         self.kill(name)
         instance = next(one for one in self.instances if one.name == name)
-        node = self._make(instance)
+        node = self._create_node(instance)
         node.start()
         listed = [record_of(one, 0) for one in self.platform.instances]
         wait = self.rng.uniform(0.2, 1.5)
@@ -301,16 +327,17 @@
         return node
 
     def list_as(self, name: str, state: InstanceState) -> None:
-        """Let the platform list an instance in another state."""
+        """Set an instance's state in the platform's list."""
         self.platform.instances = [
             replace(one, state=state) if one.name == name else one
             for one in self.platform.instances
         ]
 
     def cut_regions(self) -> None:
-        """Let the regions lose each other."""
+        """Cut the network between the regions."""
         regions = {
-            address: REGIONS[centre] for address, centre in self.place.items()
+            address: REGIONS[centre]
+            for address, centre in self.data_centre_of.items()
         }
 
         def cut(sender: Address, receiver: Address) -> bool:
@@ -319,7 +346,7 @@
         self.network.cut = cut
 
     def heal(self) -> None:
-        """Let all reach each other again."""
+        """Remove all network partitions."""
         self.network.cut = lambda _sender, _receiver: False
         self.platform.only_region = ''
 
@@ -328,7 +355,7 @@
         change: int,
         amount: int,
     ) -> tuple[Manifest, list[bytes]]:
-        """Return the document with one service's limit changed."""
+        """Change one service's limit and return manifest and sections."""
         services: dict[str, Any] = self.document['services']
         names = sorted(services)
         service = services[names[change % len(names)]]
@@ -338,14 +365,14 @@
         digests = {name: hex_digest(raw) for name, raw in sections.items()}
         return Manifest(self.generation, digests), list(sections.values())
 
-    def _make(self, instance: Instance) -> VirtualNode:
-        self._epoch += 1
+    def _create_node(self, instance: Instance) -> VirtualNode:
+        self._incarnation += 1
         identity = Identity(
             instance.name,
             instance.role.value,
             instance.data_centre,
             instance.address,
-            self._epoch,
+            self._incarnation,
         )
         rng = random.Random(self.rng.random())
         node = VirtualNode(identity, self.network, self.clock, rng)
@@ -375,9 +402,9 @@
 def _document(instances: list[Instance]) -> dict[str, Any]:
     hosts = [one for one in instances if one.role is Role.sidecar]
     services: dict[str, object] = {}
-    for first in range(0, len(hosts), _HOSTS_A_SERVICE):
-        number = first // _HOSTS_A_SERVICE
-        pool = hosts[first : first + _HOSTS_A_SERVICE]
+    for first in range(0, len(hosts), _HOSTS_PER_SERVICE):
+        number = first // _HOSTS_PER_SERVICE
+        pool = hosts[first : first + _HOSTS_PER_SERVICE]
         services[f'service-{number:03d}'] = _service(number, pool)
     return {
         'site': 'lab',
--- a/siskinbank/lab/virtual_loop.py
+++ b/siskinbank/lab/virtual_loop.py
@@ -1,9 +1,9 @@
-"""An event loop whose time goes on only while there is nothing to do.
+"""An event loop in virtual time, which passes only while the loop is idle.
 
-Sockets are real. On loopback, what is sent can be received at once, so when
-no socket is ready all parts of an experiment wait for a timer. The clock then
-jumps to it. So a busy machine makes an experiment slow, but changes nothing
-that is measured in its time.
+Sockets are real. Data sent on loopback can be received at once, so when no
+socket is ready, all parts of an experiment wait for a timer, and the clock
+advances to the next one. A busy machine thus slows an experiment down, but
+does not change times that it measures.
 """
 
 import asyncio
@@ -13,45 +13,45 @@
 
 __all__ = ('VirtualLoop', 'run_virtual')
 
-#: Real seconds for the kernel to hand on what is under way.
+#: Real seconds that the kernel gets to deliver data in transit.
 _SETTLE_SECONDS = 0.0005
-#: Steps over a timer's exact time, which rounding might miss.
+#: Added to each wait, as rounding might end it just before the timer is due.
 _ROUNDING_SECONDS = 0.000001
 
 ResultT = TypeVar('ResultT')
 
 
 class _VirtualSelector(selectors.DefaultSelector):
-    """Selects without waiting; adds up the seconds it would have waited."""
+    """Selects without waiting and sums up the timeouts that would pass."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.waited: float = 0
+        self.elapsed: float = 0
 
     def select(
         self,
         timeout: float | None = None,
     ) -> list[tuple[selectors.SelectorKey, int]]:
-        """Return what is ready, or let the time pass."""
+        """Return what is ready, or advance the virtual time."""
         if timeout is None or timeout <= 0:
             return super().select(timeout)
         ready = super().select(0) or super().select(_SETTLE_SECONDS)
         if not ready:
-            self.waited += timeout + _ROUNDING_SECONDS
+            self.elapsed += timeout + _ROUNDING_SECONDS
         return ready
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """A loop in virtual time, starting at 0."""
+    """An event loop in virtual time, which starts at 0."""
 
     def __init__(self) -> None:
-        """Start with a selector of its own."""
+        """Initialize the loop with a virtual selector."""
         self._virtual = _VirtualSelector()
         super().__init__(self._virtual)
 
     def time(self) -> float:
         """Return the virtual time in seconds."""
-        return self._virtual.waited
+        return self._virtual.elapsed
 
 
 def run_virtual(work: Coroutine[Any, Any, ResultT]) -> ResultT:
--- a/tests/lab/__init__.py
+++ b/tests/lab/__init__.py
@@ -1,1 +1,1 @@
-"""Tests."""
+"""Tests of the experiments and their tools."""
--- a/tests/lab/test_dissemination.py
+++ b/tests/lab/test_dissemination.py
@@ -1,4 +1,4 @@
-"""Tests of the dissemination in virtual time: each failure it is meant for."""
+"""Tests of gossip under faults, in virtual time."""
 
 import unittest
 
@@ -22,15 +22,15 @@
 
 
 def generations(fleet: VirtualFleet) -> set[int]:
-    """Return the generations that are in force anywhere."""
+    """Return the generations in force on the running nodes."""
     return {node.generation for node in fleet.alive}
 
 
-class TestNeverOlder(unittest.TestCase):
-    """No restart, replay or stale service turns anyone back."""
+class TestGenerationNeverReverts(unittest.TestCase):
+    """No restart, stale replica or conflict reverts a generation."""
 
     def test_restart_of_all_entries_while_stale(self) -> None:
-        """Sidecars still know what the service has forgotten."""
+        """Restarted entries get from sidecars what a stale platform lacks."""
         fleet = make_fleet()
         fleet.publish()
         fleet.run(3)
@@ -45,7 +45,7 @@
             self.assertEqual([made for _at, made in adopted], [2])
 
     def test_new_process_while_the_service_is_down(self) -> None:
-        """A new process starts from a peer that it was told."""
+        """A new process gets its state from a peer in its settings."""
         fleet = make_fleet()
         fleet.platform.down = True
         fleet.run(5)
@@ -58,7 +58,7 @@
         self.assertEqual(len(node.gossip.roster), SIZE)
 
     def test_service_down_for_long(self) -> None:
-        """All goes on, and reads stay within readers and fallback rate."""
+        """Nodes stay fresh, and calls within the readers and fallback rate."""
         fleet = make_fleet()
         fleet.platform.down = True
         fleet.run(120)
@@ -72,17 +72,20 @@
         )
 
     def test_two_documents_with_one_generation(self) -> None:
-        """One of the two wins everywhere; it is logged and counted."""
+        """The same document wins on all nodes; the conflict is reported."""
         fleet = make_fleet()
         fleet.publish_conflict()
         fleet.run(8)
         keys = {node.gossip.store.in_force for node in fleet.alive}
         self.assertEqual(len(keys), 1)
-        other = fleet.platform.other
-        assert other is not None
-        self.assertEqual(keys, {max(fleet.platform.manifest.key, other[1].key)})
+        conflicting = fleet.platform.conflicting
+        assert conflicting is not None
+        self.assertEqual(
+            keys, {max(fleet.platform.manifest.key, conflicting[1].key)}
+        )
         logged = sum(
-            node.log.numbers[events.CONFLICT.number] for node in fleet.alive
+            node.log.event_counts[events.CONFLICT.number]
+            for node in fleet.alive
         )
         counted = sum(
             node.metrics.value(Ignored.conflict) for node in fleet.alive
@@ -91,7 +94,7 @@
         self.assertGreater(counted, 0)
 
     def test_invalid_document_is_refused_everywhere(self) -> None:
-        """The last good one stays in force, and the findings are told."""
+        """The last valid document stays in force, and findings are kept."""
         fleet = make_fleet()
         fleet.document['data_centres'].pop('south-b')
         fleet.publish()
@@ -105,8 +108,8 @@
         fleet.run(6)
         self.assertEqual(generations(fleet), {3})
 
-    def test_reader_dies(self) -> None:
-        """The next by rank read in the place of dead readers."""
+    def test_readers_stopped(self) -> None:
+        """The processes next in rank replace stopped readers."""
         fleet = make_fleet()
         reading = {
             reader.node.identity.name for reader in fleet.platform.watchers
@@ -121,14 +124,14 @@
 
 
 class TestSmallExperiments(unittest.TestCase):
-    """The experiments hold their bounds at a small size."""
+    """The experiments stay within their bounds at a small size."""
 
     def test_configuration(self) -> None:
-        """Loss, pauses, a partition, restarts and a stale service."""
+        """Loss, pauses, a partition, restarts and a stale platform."""
         report = measure_configuration(SEED, 30)
         self.assertTrue(report.holds, report.lines())
 
     def test_membership(self) -> None:
-        """Lying lists, a death, pauses, and regions apart."""
+        """Wrong lists, a stopped process, pauses, and a partition."""
         report = measure_membership(SEED, 30)
         self.assertTrue(report.holds, report.lines())
--- a/tests/lab/test_first_service.py
+++ b/tests/lab/test_first_service.py
@@ -1,4 +1,4 @@
-"""The README's first service: callers' own clients through an entry."""
+"""Tests of the README's first service with an ordinary HTTP server."""
 
 import functools
 import json
@@ -18,32 +18,32 @@
 ROOT = Path(__file__).parents[2]
 KEYS = f'1:{"cd" * 32}'
 LOOPBACK = '127.0.0.1'
-_TRIES = 100
-_PAUSE_SECONDS = 0.1
+_ATTEMPTS = 100
+_RETRY_SECONDS = 0.1
 
 
 def fetch(url: str, method: str = 'GET', body: bytes | None = None) -> bytes:
-    """Return the body of an answer."""
+    """Send a request and return the body of the answer."""
     request = Request(url, data=body, method=method)
     with urlopen(request, timeout=10) as answer:
         return bytes(answer.read())
 
 
-def fetch_when_up(url: str) -> bytes:
-    """Ask again until the processes have started."""
-    for _ in range(_TRIES):
+def fetch_with_retries(url: str) -> bytes:
+    """Fetch a URL, with retries until the processes have started."""
+    for _ in range(_ATTEMPTS):
         try:
             return fetch(url)
         except OSError:
-            time.sleep(_PAUSE_SECONDS)
+            time.sleep(_RETRY_SECONDS)
     return fetch(url)
 
 
 class TestFirstService(unittest.TestCase):
-    """Any HTTP server as upstream, through ``http`` and ``tcp``."""
+    """An HTTP server as upstream, through ``http`` and ``tcp``."""
 
     def setUp(self) -> None:
-        """Start upstream, platform, sidecar and entry."""
+        """Start an upstream, a platform, a sidecar and an entry."""
         holder = tempfile.TemporaryDirectory()
         self.addCleanup(holder.cleanup)
         self.page = b'hello' * 100_000
@@ -53,7 +53,7 @@
         platform, bind, admin, entry, entry_admin = self.ports[1:6]
         self._start('lab', 'platform', f'--bind={LOOPBACK}:{platform}')
         platform_url = f'http://{LOOPBACK}:{platform}'
-        fetch_when_up(f'{platform_url}/v1/manifest')
+        fetch_with_retries(f'{platform_url}/v1/manifest')
         fetch(f'{platform_url}/admin/configuration', 'PUT', self._published())
         common = (f'--platform={platform_url}', '--data-centre=here')
         upstream = f'{LOOPBACK}:{self.ports[0]}'
@@ -76,24 +76,26 @@
             *common,
         )
 
-    def test_page_comes_whole(self) -> None:
-        """The page is the same through both ingresses."""
+    def test_page_is_complete(self) -> None:
+        """A large page is unchanged through both ingresses."""
         for port in self.ports[6:8]:
             with self.subTest(port):
-                page = fetch_when_up(f'http://{LOOPBACK}:{port}/page')
+                page = fetch_with_retries(f'http://{LOOPBACK}:{port}/page')
                 self.assertEqual(page, self.page)
 
     def _published(self) -> bytes:
-        first = (ROOT / 'examples' / 'first.yaml').read_text(encoding='utf-8')
+        document = (ROOT / 'examples' / 'first.yaml').read_text(
+            encoding='utf-8'
+        )
         for number, port in (
             ('9200', self.ports[2]),
             ('9400', self.ports[6]),
             ('9401', self.ports[7]),
         ):
-            first = first.replace(number, str(port))
+            document = document.replace(number, str(port))
         with tempfile.TemporaryDirectory() as holder:
             path = Path(holder, 'first.yaml')
-            path.write_text(first, encoding='utf-8')
+            path.write_text(document, encoding='utf-8')
             rendered = subprocess.run(
                 self._command('render', str(path), '--publish', '1'),
                 capture_output=True,
--- a/tests/lab/test_real_join.py
+++ b/tests/lab/test_real_join.py
@@ -1,4 +1,4 @@
-"""Real processes: starting from peers, and leaving by one's own word."""
+"""Tests of joining from peers and announced leaving, with real processes."""
 
 import asyncio
 import functools
@@ -11,34 +11,37 @@
 
 from siskinbank.lab.fleet import Fleet, FleetPlan
 
-_LIMIT_SECONDS = 60
-_PAUSE_SECONDS = 0.2
+_TIMEOUT_SECONDS = 60
+_POLL_SECONDS = 0.2
 PLAN = FleetPlan('join', ('a', 'b'), 2, {'matcher': 3})
 
 
-async def until(
-    ask: Callable[[], Awaitable[dict[str, Any]]],
-    holds: Callable[[dict[str, Any]], bool],
+async def poll_until(
+    fetch: Callable[[], Awaitable[dict[str, Any]]],
+    condition: Callable[[dict[str, Any]], bool],
 ) -> dict[str, Any]:
-    """Ask again until the answer is as wanted."""
+    """Poll until the answer fulfils a condition, and return it."""
     while True:
         try:
-            answer = await ask()
+            answer = await fetch()
         except (OSError, aiohttp.ClientError):
             answer = {}
-        if answer and holds(answer):
+        if answer and condition(answer):
             return answer
-        await asyncio.sleep(_PAUSE_SECONDS)
+        await asyncio.sleep(_POLL_SECONDS)
 
 
 class TestRealProcesses(unittest.IsolatedAsyncioTestCase):
-    """The platform is down; peers know."""
+    """The platform is down, so processes depend on their peers."""
 
     async def test_start_from_peers_and_leave(self) -> None:
-        """A restarted entry serves what its peers have in force."""
+        """A restarted entry takes over the generation of its peers.
+
+        A sidecar that is stopped announces that it leaves.
+        """
         fleet = Fleet(PLAN)
         try:
-            async with asyncio.timeout(_LIMIT_SECONDS):
+            async with asyncio.timeout(_TIMEOUT_SECONDS):
                 await fleet.start_without_hosts()
                 for name in fleet.hosts:
                     await fleet.start_sidecar(name)
@@ -55,9 +58,9 @@
             async with session.put(url, data='true') as put:
                 self.assertEqual(put.status, 204)
         fleet.processes.signal('entry-1', signal.SIGKILL)
-        await fleet.processes.wait('entry-1', _LIMIT_SECONDS)
+        await fleet.processes.wait('entry-1', _TIMEOUT_SECONDS)
         await fleet.start_entry('entry-1')
-        status = await until(
+        status = await poll_until(
             lambda: fleet.status('entry-1'),
             lambda answer: answer['generation'] == 1 and answer['fresh'],
         )
@@ -66,7 +69,7 @@
     async def _stop_sidecar(self, fleet: Fleet) -> None:
         fleet.processes.signal('matcher-1', signal.SIGTERM)
         for entry in fleet.entries:
-            await until(
+            await poll_until(
                 functools.partial(fleet.status, entry),
                 lambda answer: 'matcher-1' in answer['leaving'],
             )
