--- a/siskinbank/relay/entry.py
+++ b/siskinbank/relay/entry.py
@@ -30,7 +30,7 @@
 from siskinbank.relay.datagrams import open_datagrams, read_datagrams
 from siskinbank.relay.follower import Follower
 from siskinbank.relay.gossip import Gossip
-from siskinbank.relay.handover import Handover
+from siskinbank.relay.handover import ConfigurationTransfer
 from siskinbank.relay.node import Node
 from siskinbank.relay.seeker import FlowSearcher
 
@@ -83,8 +83,10 @@
         self._follower = Follower(
             node, self._on_hosts_read, self._on_operator_read
         )
-        self._handover = Handover(node, self._follower, self._on_configuration)
-        self._gossip = Gossip(node, self._hosts, self._follower, self._handover)
+        self._transfer = ConfigurationTransfer(
+            node, self._follower, self._on_configuration
+        )
+        self._gossip = Gossip(node, self._hosts, self._follower, self._transfer)
         self._searcher = FlowSearcher(
             node,
             self._hosts,
@@ -340,7 +342,7 @@
                 slots=status.slots,
                 record_age_ms=status.record_age_ms,
             )
-        self._handover.ask_if_newer(status.version, ip)
+        self._transfer.fetch_if_newer(status.version, ip)
         self._process_early_packets()
 
     # Store updates, readiness and shutdown.
--- a/siskinbank/relay/gossip.py
+++ b/siskinbank/relay/gossip.py
@@ -10,7 +10,7 @@
     rank_of,
 )
 from siskinbank.relay import messages
-from siskinbank.relay.greetings import LOOK_S, GreetingPace
+from siskinbank.relay.greetings import HELLO_CHECK_INTERVAL_S, HelloSchedule
 from siskinbank.relay.loop import NEVER
 from siskinbank.relay.records import record_for
 
@@ -18,7 +18,7 @@
 if TYPE_CHECKING:
     from siskinbank.beliefs.hosts import HostBeliefs
     from siskinbank.relay.follower import Follower
-    from siskinbank.relay.handover import Handover
+    from siskinbank.relay.handover import ConfigurationTransfer
     from siskinbank.relay.node import Node
 
 __all__ = ('Gossip',)
@@ -56,7 +56,7 @@
         node: Node,
         hosts: HostBeliefs,
         follower: Follower,
-        configuration_transfer: Handover,
+        configuration_transfer: ConfigurationTransfer,
     ) -> None:
         """Register the message handlers and send a hello to the seeds."""
         self.sidecars: set[bytes] = set()
@@ -76,8 +76,8 @@
         node.handlers[messages.PEERS] = self._receive_peers
         node.handlers[messages.ANNOUNCEMENT] = self._receive_announcement
         node.loop.every(_ANNOUNCE_INTERVAL_S, self.tell)
-        self._hello_schedule = GreetingPace(node.loop.now, _HELLO_INTERVAL_S)
-        node.loop.every(LOOK_S, self._send_hellos_when_due)
+        self._hello_schedule = HelloSchedule(node.loop.now, _HELLO_INTERVAL_S)
+        node.loop.every(HELLO_CHECK_INTERVAL_S, self._send_hellos_when_due)
         node.loop.every(_SWEEP_INTERVAL_S, self._sweep)
         self._send_hellos()
 
@@ -157,7 +157,7 @@
 
     def _send_hellos(self) -> None:
         now = self._node.loop.now
-        starting = self._hello_schedule.is_young(now)
+        starting = self._hello_schedule.is_starting(now)
         for seed in self._node.settings.seeds:
             packed = inet_aton(seed)
             silent = (
@@ -209,7 +209,7 @@
         else:
             self._stopping.discard(packed)
         now = self._node.loop.now
-        self._configuration_transfer.ask_if_newer(announcement.version, ip)
+        self._configuration_transfer.fetch_if_newer(announcement.version, ip)
         if announcement.version == self._follower.configuration.version:
             confirmed = now - announcement.operator_age_s
             self._operator_seen_by_peer = max(
--- a/siskinbank/relay/greetings.py
+++ b/siskinbank/relay/greetings.py
@@ -7,16 +7,16 @@
 
 from __future__ import annotations
 
-__all__ = ('LOOK_S', 'GreetingPace')
+__all__ = ('HELLO_CHECK_INTERVAL_S', 'HelloSchedule')
 
 # Interval at which it is checked whether a hello is due, and interval of hellos
 # during startup, in seconds: half of a client's first retransmission timeout.
-LOOK_S = 0.1
+HELLO_CHECK_INTERVAL_S = 0.1
 # Duration of the startup phase, in seconds: the slowest start of a peer.
 _STARTUP_S = 2.0
 
 
-class GreetingPace:
+class HelloSchedule:
     """Schedules frequent hellos during startup and fewer later."""
 
     __slots__ = ('_last_hello', '_period_s', '_started')
@@ -32,13 +32,16 @@
         self._last_hello = now
         self._period_s = period_s
 
-    def is_young(self, now: float) -> bool:
+    def is_starting(self, now: float) -> bool:
         """Return whether peers may still be starting."""
         return now - self._started < _STARTUP_S
 
     def is_due(self, now: float) -> bool:
         """Return whether a hello is due now, and count it as sent if so."""
-        if not self.is_young(now) and now - self._last_hello < self._period_s:
+        if (
+            not self.is_starting(now)
+            and now - self._last_hello < self._period_s
+        ):
             return False
         self._last_hello = now
         return True
--- a/siskinbank/relay/handover.py
+++ b/siskinbank/relay/handover.py
@@ -14,7 +14,7 @@
     from siskinbank.relay.follower import Follower
     from siskinbank.relay.node import Node
 
-__all__ = ('Handover',)
+__all__ = ('ConfigurationTransfer',)
 
 # Bytes of configuration per datagram: fits any link without IP fragmentation.
 _PIECE_BYTES = 1100
@@ -22,7 +22,7 @@
 _REQUEST_INTERVAL_S = 0.1
 
 
-class Handover:
+class ConfigurationTransfer:
     """Fetches newer configurations from peers and serves the own one."""
 
     __slots__ = (
@@ -56,7 +56,7 @@
         node.handlers[messages.ASK_CONFIGURATION] = self._handle_request
         node.handlers[messages.CONFIGURATION] = self._handle_piece
 
-    def ask_if_newer(self, version: int, ip: str) -> None:
+    def fetch_if_newer(self, version: int, ip: str) -> None:
         """Request the configuration of a peer that has a newer version."""
         now = self._node.loop.now
         newer = version > self._follower.configuration.version
--- a/siskinbank/relay/reports.py
+++ b/siskinbank/relay/reports.py
@@ -5,7 +5,7 @@
 from _socket import inet_aton, inet_ntoa
 
 from siskinbank.relay import messages
-from siskinbank.relay.greetings import LOOK_S, GreetingPace
+from siskinbank.relay.greetings import HELLO_CHECK_INTERVAL_S, HelloSchedule
 from siskinbank.relay.loop import NEVER
 
 TYPE_CHECKING = False
@@ -44,7 +44,7 @@
         '_host',
         '_next_entry',
         '_node',
-        '_pace',
+        '_hello_schedule',
     )
 
     def __init__(
@@ -73,8 +73,8 @@
         node.handlers[messages.HELLO] = self._handle_hello
         node.handlers[messages.PEERS] = self._handle_peers
         node.loop.every(_STATUS_INTERVAL_S, self.send_status)
-        self._pace = GreetingPace(node.loop.now, _HELLO_INTERVAL_S)
-        node.loop.every(LOOK_S, self._send_hellos_when_due)
+        self._hello_schedule = HelloSchedule(node.loop.now, _HELLO_INTERVAL_S)
+        node.loop.every(HELLO_CHECK_INTERVAL_S, self._send_hellos_when_due)
         node.loop.every(_SWEEP_INTERVAL_S, self._sweep)
         self._send_hellos()
 
@@ -96,7 +96,7 @@
             self._node.send(ip, datagram)
 
     def _send_hellos_when_due(self) -> None:
-        if self._pace.is_due(self._node.loop.now):
+        if self._hello_schedule.is_due(self._node.loop.now):
             self._send_hellos()
 
     def _send_hellos(self) -> None:
--- a/tests/relay/test_gossip.py
+++ b/tests/relay/test_gossip.py
@@ -43,7 +43,7 @@
             send=self._send,
         )
         configuration_transfer: Any = SimpleNamespace(
-            ask_if_newer=lambda *_: None
+            fetch_if_newer=lambda *_: None
         )
         self.gossip = Gossip(
             node, HostBeliefs(), follower, configuration_transfer
--- a/tests/relay/test_greetings.py
+++ b/tests/relay/test_greetings.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from siskinbank.relay.greetings import LOOK_S, GreetingPace
+from siskinbank.relay.greetings import HELLO_CHECK_INTERVAL_S, HelloSchedule
 
 PERIOD_S = 1.0
 STARTED = 100
@@ -14,15 +14,17 @@
     def test_late_peer_is_discovered_soon(self) -> None:
         """A peer that starts 0.05 s to 1.5 s after the first hello."""
         for late_ms in range(50, 1500, 50):
-            schedule = GreetingPace(STARTED, PERIOD_S)
+            schedule = HelloSchedule(STARTED, PERIOD_S)
             up = STARTED + late_ms / 1000
             now: float = STARTED
             while not (schedule.is_due(now) and now >= up):
-                now += LOOK_S
-            self.assertLessEqual(now - up, LOOK_S + 0.001)
+                now += HELLO_CHECK_INTERVAL_S
+            self.assertLessEqual(now - up, HELLO_CHECK_INTERVAL_S + 0.001)
 
     def test_hellos_are_rare_after_startup(self) -> None:
         """Dead peers get few datagrams."""
-        schedule = GreetingPace(STARTED, PERIOD_S)
-        checks = [STARTED + 10 + step * LOOK_S for step in range(100)]
+        schedule = HelloSchedule(STARTED, PERIOD_S)
+        checks = [
+            STARTED + 10 + step * HELLO_CHECK_INTERVAL_S for step in range(100)
+        ]
         self.assertLessEqual(sum(map(schedule.is_due, checks)), 11)
