--- a/siskinbank/relay/datagrams.py
+++ b/siskinbank/relay/datagrams.py
@@ -16,7 +16,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-__all__ = ('connect_datagrams', 'open_datagrams', 'read_datagrams')
+__all__ = ('connect_udp_socket', 'open_udp_socket', 'read_datagrams')
 
 _NONBLOCKING_UDP = SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC
 # Holds the datagrams that the busiest process receives in half a second.
@@ -25,7 +25,7 @@
 _MAX_READS_PER_TURN = 64
 
 
-def open_datagrams(address: tuple[str, int]) -> socket:
+def open_udp_socket(address: tuple[str, int]) -> socket:
     """Open a UDP socket bound to an address.
 
     Raises:
@@ -37,7 +37,7 @@
     return udp_socket
 
 
-def connect_datagrams(address: tuple[str, int]) -> socket:
+def connect_udp_socket(address: tuple[str, int]) -> socket:
     """Open a UDP socket connected to one receiver.
 
     A connected socket reports an error if the receiver's port is closed.
--- a/siskinbank/relay/entry.py
+++ b/siskinbank/relay/entry.py
@@ -27,8 +27,8 @@
     sequence_numbers,
 )
 from siskinbank.relay import messages
-from siskinbank.relay.datagrams import open_datagrams, read_datagrams
-from siskinbank.relay.follower import Follower
+from siskinbank.relay.datagrams import open_udp_socket, read_datagrams
+from siskinbank.relay.follower import StoreFollower
 from siskinbank.relay.gossip import Gossip
 from siskinbank.relay.handover import ConfigurationTransfer
 from siskinbank.relay.node import Node
@@ -80,7 +80,7 @@
         self._early_packets: list[tuple[float, bytes]] = []
         self._discovery_done = False
         self._hosts = HostBeliefs()
-        self._follower = Follower(
+        self._follower = StoreFollower(
             node, self._on_hosts_read, self._on_operator_read
         )
         self._transfer = ConfigurationTransfer(
@@ -94,11 +94,11 @@
             self._gossip,
             self._reset,
         )
-        self._clients = open_datagrams((settings.ip, settings.packet_port))
+        self._clients = open_udp_socket((settings.ip, settings.packet_port))
         node.ready = self._is_ready
         node.stopping = self._begin_stop
         node.handlers[messages.HELD] = self._handle_held
-        node.handlers[messages.KEPT] = self._handle_kept
+        node.handlers[messages.QUEUED] = self._handle_kept
         node.handlers[messages.ABSENT] = self._handle_absent
         node.handlers[messages.REFUSED] = self._handle_refused
         node.handlers[messages.STATUS] = self._handle_status
@@ -136,7 +136,7 @@
         if self._searcher.is_lost(key, flow.ip):
             self._reset(packet, 'host-gone')
             return
-        wrap = messages.carry if flow.held else messages.search
+        wrap = messages.pack_forward if flow.held else messages.search
         self._node.send(flow.ip, wrap(packet))
 
     # First packets.
@@ -289,7 +289,7 @@
             flow = self._flows.add(key, ip, self._node.loop.now)
         flow.hold(ip, number, bool(established))
         for packet in self._searcher.finish(key, ip):
-            self._node.send(ip, messages.carry(packet))
+            self._node.send(ip, messages.pack_forward(packet))
 
     def _handle_kept(self, raw: bytes, ip: str) -> None:
         key, _, _ = messages.read_flow_note(raw)
@@ -348,23 +348,23 @@
     # Store updates, readiness and shutdown.
 
     def _on_hosts_read(self) -> None:
-        self._gossip.tell_records()
+        self._gossip.send_records()
 
     def _on_configuration(self) -> None:
-        self._gossip.tell_of_change()
+        self._gossip.announce_change()
         self._process_early_packets()
 
     def _on_operator_read(self) -> None:
         self._on_configuration()
         if self._follower.hosts_revision:
-            self._gossip.tell_records()
+            self._gossip.send_records()
 
     def _is_ready(self) -> bool:
         return self._is_discovery_done() and not self._gossip.stopping
 
     def _begin_stop(self) -> None:
         self._gossip.stopping = True
-        self._gossip.tell()
+        self._gossip.announce()
         self._node.loop.after(_STOP_DELAY_S, self._node.stop)
 
     def _sweep(self) -> None:
--- a/siskinbank/relay/follower.py
+++ b/siskinbank/relay/follower.py
@@ -18,7 +18,7 @@
     read_watch,
 )
 from siskinbank.relay.http import Client
-from siskinbank.relay.log import no_blanks
+from siskinbank.relay.log import without_spaces
 from siskinbank.relay.loop import NEVER
 
 TYPE_CHECKING = False
@@ -27,7 +27,7 @@
 
     from siskinbank.relay.node import Node
 
-__all__ = ('Follower',)
+__all__ = ('StoreFollower',)
 
 # Interval between checks whether a request is due, in seconds.
 _CHECK_INTERVAL_S = 0.1
@@ -59,7 +59,7 @@
         self.next_attempt = NEVER
 
 
-class Follower:
+class StoreFollower:
     """State read from the store by this process.
 
     Times are those of the loop's clock, in seconds.
@@ -98,7 +98,7 @@
         self.hosts: dict[str, HostRecord] = {}
         self.hosts_revision = 0
         self.hosts_seen = NEVER
-        self.hosts_told = NEVER
+        self.hosts_seen_by_peer = NEVER
         self.rank = 0
         self.hosts_due: Callable[[], bool] = bool
         self.operator_due: Callable[[], bool] = bool
@@ -137,10 +137,10 @@
             self._log_refusal('configuration.refused', source, error)
             return False
         if adopted:
-            self.note_configuration(before, source)
+            self.log_configuration(before, source)
         return adopted
 
-    def note_configuration(self, before: int, source: str) -> None:
+    def log_configuration(self, before: int, source: str) -> None:
         """Log and count a change of the configuration in force."""
         self._node.meters.count('configurations_total')
         self._node.log(
@@ -179,7 +179,9 @@
             self._list_hosts(page.changes[-1].key)
             return
         now = self._node.loop.now
-        self._store_return.note_read(now, max(self.hosts_seen, self.hosts_told))
+        self._store_return.note_read(
+            now, max(self.hosts_seen, self.hosts_seen_by_peer)
+        )
         self.hosts = self._decode_hosts(self._listed_changes)
         self.hosts_revision = page.revision
         self.hosts_seen = now
@@ -307,4 +309,4 @@
 
     def _log_refusal(self, event: str, source: str, error: Exception) -> None:
         self._node.meters.count('records_refused_total')
-        self._node.log(event, source=source, reason=no_blanks(error))
+        self._node.log(event, source=source, reason=without_spaces(error))
--- a/siskinbank/relay/gossip.py
+++ b/siskinbank/relay/gossip.py
@@ -17,7 +17,7 @@
 TYPE_CHECKING = False
 if TYPE_CHECKING:
     from siskinbank.beliefs.hosts import HostBeliefs
-    from siskinbank.relay.follower import Follower
+    from siskinbank.relay.follower import StoreFollower
     from siskinbank.relay.handover import ConfigurationTransfer
     from siskinbank.relay.node import Node
 
@@ -55,7 +55,7 @@
         self,
         node: Node,
         hosts: HostBeliefs,
-        follower: Follower,
+        follower: StoreFollower,
         configuration_transfer: ConfigurationTransfer,
     ) -> None:
         """Register the message handlers and send a hello to the seeds."""
@@ -75,13 +75,13 @@
         node.handlers[messages.HELLO] = self._receive_hello
         node.handlers[messages.PEERS] = self._receive_peers
         node.handlers[messages.ANNOUNCEMENT] = self._receive_announcement
-        node.loop.every(_ANNOUNCE_INTERVAL_S, self.tell)
+        node.loop.every(_ANNOUNCE_INTERVAL_S, self.announce)
         self._hello_schedule = HelloSchedule(node.loop.now, _HELLO_INTERVAL_S)
         node.loop.every(HELLO_CHECK_INTERVAL_S, self._send_hellos_when_due)
         node.loop.every(_SWEEP_INTERVAL_S, self._sweep)
         self._send_hellos()
 
-    def tell(self) -> None:
+    def announce(self) -> None:
         """Announce versions and ages to the other entries; update the rank."""
         datagram = self._announcement().pack()
         for peer in list(self._last_seen)[:_MAX_PEERS_PER_TURN]:
@@ -93,7 +93,7 @@
         ]
         self._follower.rank = rank_of(self._node.packed_ip, readers)
 
-    def tell_of_change(self) -> None:
+    def announce_change(self) -> None:
         """Announce the configuration at once if its version has changed.
 
         Load pattern: the store returns after a power failure, with a large
@@ -103,9 +103,9 @@
         version = self._follower.configuration.version
         if version != self._announced_version:
             self._announced_version = version
-            self.tell()
+            self.announce()
 
-    def tell_records(self) -> None:
+    def send_records(self) -> None:
         """Send each sidecar the record of its host."""
         self.add_sidecars(list(map(inet_aton, self._follower.hosts)))
         now = self._node.loop.now
@@ -122,7 +122,7 @@
                 self.sidecars.add(packed)
                 self._node.send(inet_ntoa(packed), _HELLO)
 
-    def want_hosts(self) -> None:
+    def request_hosts_read(self) -> None:
         """Request an early read of the hosts, regardless of the own rank."""
         self._hosts_read_requested = True
 
@@ -135,7 +135,7 @@
         if self._hosts_read_requested:
             max_age_s = hosts_patience_s(0)
         else:
-            last_confirmed = max(last_confirmed, follower.hosts_told)
+            last_confirmed = max(last_confirmed, follower.hosts_seen_by_peer)
         due = self._node.loop.now - last_confirmed > max_age_s
         if due:
             self._hosts_read_requested = False
@@ -217,7 +217,9 @@
             )
         confirmed = now - announcement.hosts_age_s
         follower = self._follower
-        follower.hosts_told = max(follower.hosts_told, confirmed)
+        follower.hosts_seen_by_peer = max(
+            follower.hosts_seen_by_peer, confirmed
+        )
 
     def _record_contact(self, packed: bytes) -> None:
         now = self._node.loop.now
--- a/siskinbank/relay/handover.py
+++ b/siskinbank/relay/handover.py
@@ -4,14 +4,14 @@
 
 from siskinbank.platform.documents import Unreadable
 from siskinbank.relay import messages
-from siskinbank.relay.log import no_blanks
+from siskinbank.relay.log import without_spaces
 from siskinbank.relay.loop import NEVER
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from siskinbank.relay.follower import Follower
+    from siskinbank.relay.follower import StoreFollower
     from siskinbank.relay.node import Node
 
 __all__ = ('ConfigurationTransfer',)
@@ -37,7 +37,7 @@
     def __init__(
         self,
         node: Node,
-        follower: Follower,
+        follower: StoreFollower,
         on_change: Callable[[], None],
     ) -> None:
         """Initialize the transfer and register its message handlers.
@@ -104,9 +104,9 @@
             self._node.log(
                 'configuration.refused',
                 source=ip,
-                reason=no_blanks(error),
+                reason=without_spaces(error),
             )
             return
         if accepted:
-            follower.note_configuration(before, ip)
+            follower.log_configuration(before, ip)
             self._on_change()
--- a/siskinbank/relay/log.py
+++ b/siskinbank/relay/log.py
@@ -18,7 +18,7 @@
 if TYPE_CHECKING:
     from siskinbank.relay.loop import Loop
 
-__all__ = ('Log', 'no_blanks')
+__all__ = ('Log', 'without_spaces')
 
 _STDOUT = 1
 # Sustained rate in lines a second, and burst size in lines: twice the decisions
@@ -110,6 +110,6 @@
         return True
 
 
-def no_blanks(error: Exception) -> str:
+def without_spaces(error: Exception) -> str:
     """Return the text of an error without spaces, for use as a log value."""
     return str(error).replace(' ', '_')
--- a/siskinbank/relay/messages.py
+++ b/siskinbank/relay/messages.py
@@ -22,16 +22,16 @@
     'ASK_CONFIGURATION',
     'ASK_FLOWS',
     'Announcement',
-    'CARRY',
+    'FORWARD',
     'CONFIGURATION',
     'DRAINING',
     'FLOW_NOTE_BYTES',
     'HELD',
     'HELLO',
-    'KEPT',
-    'MOST_WAIT_MS',
-    'MOST_KEYS',
-    'MOST_RELAYED',
+    'QUEUED',
+    'MAX_WAIT_MS',
+    'MAX_KEYS',
+    'MAX_RELAYED',
     'Malformed',
     'NOT_HELD',
     'OPEN',
@@ -47,10 +47,10 @@
     'SEARCH',
     'STATUS',
     'Status',
-    'UNSURE',
-    'carry',
+    'HELD_UNKNOWN',
+    'pack_forward',
     'digest',
-    'flow_note',
+    'pack_flow_note',
     'pack_addresses',
     'pack_keys',
     'pack_piece',
@@ -68,7 +68,7 @@
 # A client's first packet, with the candidate hosts for its flow.
 OPEN = 1
 # A packet of a flow that is known to be held by the receiving host.
-CARRY = 2
+FORWARD = 2
 # A packet of a flow whose host is searched for.
 SEARCH = 3
 # Notes of a sidecar to an entry: its host holds a flow, does not hold it, or no
@@ -92,10 +92,10 @@
 # than its host.
 ASK_FLOWS = 14
 NOT_HELD = 15
-UNSURE = 16
+HELD_UNKNOWN = 16
 # Also a note: the sidecar holds a first packet in its queue until a slot is
 # free.
-KEPT = 17
+QUEUED = 17
 # A packet of a flow whose host is searched for, to be forwarded to other hosts.
 RELAYED = 18
 
@@ -107,14 +107,14 @@
 OPERATOR = 8
 
 # The largest value of a wait in a message, in milliseconds.
-MOST_WAIT_MS = 0xFFFF
+MAX_WAIT_MS = 0xFFFF
 
 _ADDRESS_BYTES = 4
 _KEY_BYTES = 12
 # Flow keys in one datagram, so that no link fragments it.
-MOST_KEYS = 90
+MAX_KEYS = 90
 # Hosts that one sidecar forwards a packet to: takes it a few ms.
-MOST_RELAYED = 64
+MAX_RELAYED = 64
 _MS_PER_S = 1000
 _MAX_AGE_MS = 0xFFFFFFFF
 
@@ -128,7 +128,7 @@
 
 FLOW_NOTE_BYTES = _FLOW_NOTE.size
 
-_CARRY_HEAD = bytes((CARRY,))
+_CARRY_HEAD = bytes((FORWARD,))
 _SEARCH_HEAD = bytes((SEARCH,))
 
 
@@ -141,7 +141,7 @@
     return crc32(name.encode())
 
 
-def carry(packet: bytes) -> bytes:
+def pack_forward(packet: bytes) -> bytes:
     """Return a CARRY datagram with a packet of a known flow."""
     return _CARRY_HEAD + packet
 
@@ -215,7 +215,7 @@
         self.aim_ms = 0
         self.limit_ms = 0
         self.best = entry
-        self.best_wait_ms = MOST_WAIT_MS
+        self.best_wait_ms = MAX_WAIT_MS
         self.candidates: list[bytes] = []
 
     @classmethod
@@ -238,14 +238,14 @@
     @property
     def best_wait_s(self) -> float | None:
         """The shortest expected wait so far in seconds, None if unset."""
-        if self.best_wait_ms == MOST_WAIT_MS:
+        if self.best_wait_ms == MAX_WAIT_MS:
             return None
         return self.best_wait_ms / _MS_PER_S
 
     @property
-    def is_hopeless(self) -> bool:
+    def exceeds_limit(self) -> bool:
         """Whether the shortest expected wait exceeds the limit."""
-        return self.limit_ms < self.best_wait_ms < MOST_WAIT_MS
+        return self.limit_ms < self.best_wait_ms < MAX_WAIT_MS
 
     def pop_next(self) -> str:
         """Remove the next candidate; return its address as text."""
@@ -268,7 +268,9 @@
         return head + b''.join(self.candidates) + self.packet
 
 
-def flow_note(kind: int, key: bytes, number: int, reason: int = 0) -> bytes:
+def pack_flow_note(
+    kind: int, key: bytes, number: int, reason: int = 0
+) -> bytes:
     """Return a datagram with a note about one flow.
 
     Args:
@@ -513,7 +515,7 @@
 
 def wait_ms(seconds: float) -> int:
     """Return a wait in milliseconds, capped below MOST_WAIT_MS."""
-    return min(int(seconds * _MS_PER_S), MOST_WAIT_MS - 1)
+    return min(int(seconds * _MS_PER_S), MAX_WAIT_MS - 1)
 
 
 def pack_addresses(kind: int, *groups: list[bytes]) -> bytes:
--- a/siskinbank/relay/node.py
+++ b/siskinbank/relay/node.py
@@ -19,9 +19,9 @@
     reset_for,
 )
 from siskinbank.platform.settings import READY_PATH, read_settings
-from siskinbank.relay.datagrams import open_datagrams, read_datagrams
+from siskinbank.relay.datagrams import open_udp_socket, read_datagrams
 from siskinbank.relay.http import Server
-from siskinbank.relay.log import Log, no_blanks
+from siskinbank.relay.log import Log, without_spaces
 from siskinbank.relay.loop import Loop
 from siskinbank.relay.messages import Malformed
 from siskinbank.relay.meters import Meters
@@ -85,7 +85,7 @@
         self._path = path
         self._stop_requested = False
         self._reload_requested = False
-        self._peer_socket = open_datagrams(
+        self._peer_socket = open_udp_socket(
             (self.settings.ip, self.settings.peer_port)
         )
         self.loop.watch(self._peer_socket.fileno(), self._receive)
@@ -136,7 +136,7 @@
         try:
             fresh = read_settings(self._path)
         except (OSError, Unreadable) as error:
-            self.log('settings.refused', reason=no_blanks(error))
+            self.log('settings.refused', reason=without_spaces(error))
             return
         before = self.settings
         if (fresh.seeds, fresh.service) != (before.seeds, before.service):
@@ -187,7 +187,7 @@
             self.log(
                 'packet.refused',
                 sender=sender,
-                reason=no_blanks(error),
+                reason=without_spaces(error),
             )
 
     def _readiness(self) -> tuple[int, str]:
@@ -202,7 +202,7 @@
                 {METRICS_PATH: lambda: (200, self.meters.text())},
             )
         except OSError as error:
-            self.log('packet.refused', reason=no_blanks(error))
+            self.log('packet.refused', reason=without_spaces(error))
             return
         self._servers.append(server)
 
@@ -234,7 +234,7 @@
         self.log(
             'process.fault',
             kind=type(fault).__name__,
-            reason=no_blanks(fault),
+            reason=without_spaces(fault),
             place=place,
         )
 
--- a/siskinbank/relay/openings.py
+++ b/siskinbank/relay/openings.py
@@ -170,11 +170,11 @@
         if decision == 'back':
             # That host queues or refuses the flow; it is not forwarded again.
             opening.candidates = [opening.best]
-            opening.best_wait_ms = messages.MOST_WAIT_MS
+            opening.best_wait_ms = messages.MAX_WAIT_MS
         elif wait is not None and (best is None or wait < best):
             opening.best = self._node.packed_ip
             opening.best_wait_ms = messages.wait_ms(wait)
-        reason = reasons.BUSY if opening.is_hopeless else reasons.FULL
+        reason = reasons.BUSY if opening.exceeds_limit else reasons.FULL
         self._forward(key, opening, reason)
 
     def _wait_s(self, queued: KeptOpening) -> float | None:
@@ -201,7 +201,7 @@
             copy=sequence_numbers(opening.packet)[1],
             hops=opening.hops,
         )
-        note = messages.flow_note(messages.KEPT, key, 0)
+        note = messages.pack_flow_note(messages.QUEUED, key, 0)
         self._node.send(inet_ntoa(opening.entry), note)
         self._schedule_check()
 
@@ -279,7 +279,7 @@
             opening.hops += 1
             self._node.send(opening.pop_next(), opening.pack())
             return
-        note = messages.flow_note(messages.REFUSED, key, 0, reason)
+        note = messages.pack_flow_note(messages.REFUSED, key, 0, reason)
         self._node.send(inet_ntoa(opening.entry), note + opening.packet)
 
 
--- a/siskinbank/relay/records.py
+++ b/siskinbank/relay/records.py
@@ -6,13 +6,13 @@
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
-    from siskinbank.relay.follower import Follower
+    from siskinbank.relay.follower import StoreFollower
 
 __all__ = ('record_for',)
 
 
 def record_for(
-    follower: Follower,
+    follower: StoreFollower,
     ip: str,
     now: float,
 ) -> messages.Record | None:
--- a/siskinbank/relay/seeker.py
+++ b/siskinbank/relay/seeker.py
@@ -26,7 +26,7 @@
 
     from siskinbank.beliefs.hosts import HostBelief, HostBeliefs
     from siskinbank.platform.records import Route
-    from siskinbank.relay.follower import Follower
+    from siskinbank.relay.follower import StoreFollower
     from siskinbank.relay.gossip import Gossip
     from siskinbank.relay.node import Node
 
@@ -75,7 +75,7 @@
         self,
         node: Node,
         hosts: HostBeliefs,
-        follower: Follower,
+        follower: StoreFollower,
         gossip: Gossip,
         reset: Callable[[bytes, str], None],
     ) -> None:
@@ -102,7 +102,7 @@
         self._round_pause_s = _BATCH_S
         self._round_scheduled = False
         node.handlers[messages.NOT_HELD] = self._handle_not_held
-        node.handlers[messages.UNSURE] = self._handle_unsure
+        node.handlers[messages.HELD_UNKNOWN] = self._handle_unsure
         node.loop.every(ASK_AGAIN_S, self._continue_searches)
 
     def search(self, key: bytes, packet: bytes) -> None:
@@ -178,7 +178,7 @@
         if self._node.loop.now - follower.hosts_seen > _MAX_LIST_AGE_S:
             # This flow needs a fresh listing, whichever process is the current
             # reader.
-            self._gossip.want_hosts()
+            self._gossip.request_hosts_read()
             return False
         return ip not in follower.hosts and follower.trusts_absence()
 
@@ -213,8 +213,8 @@
         pause = len(queries) * _PAUSE_PER_HOST_S
         self._round_pause_s = min(max(pause, _BATCH_S), _MAX_PAUSE_S)
         for ip, keys in queries.items():
-            for start in range(0, len(keys), messages.MOST_KEYS):
-                some = keys[start : start + messages.MOST_KEYS]
+            for start in range(0, len(keys), messages.MAX_KEYS):
+                some = keys[start : start + messages.MAX_KEYS]
                 datagram = messages.pack_keys(messages.ASK_FLOWS, some)
                 self._node.send(ip, datagram)
 
@@ -241,8 +241,8 @@
             search = self._searches.get(key)
             if search is None:
                 continue
-            for start in range(0, len(hosts), messages.MOST_RELAYED):
-                first, *others = hosts[start : start + messages.MOST_RELAYED]
+            for start in range(0, len(hosts), messages.MAX_RELAYED):
+                first, *others = hosts[start : start + messages.MAX_RELAYED]
                 datagram = messages.relayed(
                     self._node.packed_ip,
                     others,
--- a/siskinbank/relay/sidecar.py
+++ b/siskinbank/relay/sidecar.py
@@ -23,11 +23,11 @@
 )
 from siskinbank.relay import messages
 from siskinbank.relay.datagrams import (
-    connect_datagrams,
-    open_datagrams,
+    connect_udp_socket,
+    open_udp_socket,
     read_datagrams,
 )
-from siskinbank.relay.follower import Follower
+from siskinbank.relay.follower import StoreFollower
 from siskinbank.relay.node import Node
 from siskinbank.relay.openings import FlowAdmission, check_packet_head
 from siskinbank.relay.records import record_for
@@ -85,14 +85,14 @@
         started_ms = int(time() * _MS)
         self._host = OwnHost(service, node.loop.now, started_ms)
         self._tracker = RequestTracker(node, self._host)
-        self._follower = Follower(
+        self._follower = StoreFollower(
             node, self._on_store_read, self._on_store_read
         )
         self._follower.hosts_due = self._hosts_due
         self._follower.operator_due = self._operator_due
-        self._outbound = open_datagrams(settings.host_output)
-        self._packets = open_datagrams((settings.ip, settings.packet_port))
-        self._inbound = connect_datagrams(settings.host_address)
+        self._outbound = open_udp_socket(settings.host_output)
+        self._packets = open_udp_socket((settings.ip, settings.packet_port))
+        self._inbound = connect_udp_socket(settings.host_address)
         self._reporter = StatusReporter(
             node,
             self._host,
@@ -110,7 +110,7 @@
         self._tracker.on_end = self._admission.release
         node.ready = lambda: not self._host.stopping
         node.stopping = self._begin_stop
-        node.handlers[messages.CARRY] = self._handle_carry
+        node.handlers[messages.FORWARD] = self._handle_carry
         node.handlers[messages.SEARCH] = self._handle_search
         node.handlers[messages.RELAYED] = self._handle_relayed
         node.handlers[messages.ASK_FLOWS] = self._handle_ask
@@ -194,7 +194,7 @@
 
     def _send_held(self, key: bytes, flow: HeldFlow) -> None:
         if flow.entry:
-            note = messages.flow_note(
+            note = messages.pack_flow_note(
                 messages.HELD,
                 key,
                 flow.number,
@@ -211,7 +211,7 @@
             self._send_absent(key, waiting.entry, waiting.packet)
 
     def _send_absent(self, key: bytes, entry: str, packet: bytes) -> None:
-        note = messages.flow_note(messages.ABSENT, key, 0)
+        note = messages.pack_flow_note(messages.ABSENT, key, 0)
         self._node.send(entry, note + packet)
 
     # Other packets from clients.
@@ -241,7 +241,7 @@
                 unknown.append(key)
         if unknown:
             whole = self._host.seen_whole(self._node.loop.now)
-            kind = messages.NOT_HELD if whole else messages.UNSURE
+            kind = messages.NOT_HELD if whole else messages.HELD_UNKNOWN
             self._node.send(ip, messages.pack_keys(kind, unknown))
 
     def _forward_to_host(
@@ -308,7 +308,7 @@
         before = host.record
         if not host.believe(record, self._node.loop.now):
             return
-        self._follower.hosts_told = host.confirmed
+        self._follower.hosts_seen_by_peer = host.confirmed
         restarted = before and record.born_ms not in {0, before.born_ms}
         if before and before.born_ms and restarted:
             self._drop_flows()
--- a/tests/relay/test_gossip.py
+++ b/tests/relay/test_gossip.py
@@ -29,7 +29,7 @@
             hosts={},
             hosts_revision=0,
             hosts_seen=NEVER,
-            hosts_told=NEVER,
+            hosts_seen_by_peer=NEVER,
             operator_revision=0,
             operator_seen=NEVER,
             rank=0,
@@ -68,8 +68,8 @@
         context = GossipContext()
         context.configuration.version = 7
         context.sent.clear()
-        context.gossip.tell_of_change()
+        context.gossip.announce_change()
         expected = [(messages.ANNOUNCEMENT, ip) for ip in OTHERS]
         self.assertEqual(context.sent, expected)
-        context.gossip.tell_of_change()
+        context.gossip.announce_change()
         self.assertEqual(context.sent, expected)
--- a/tests/relay/test_messages.py
+++ b/tests/relay/test_messages.py
@@ -62,7 +62,7 @@
 
     def test_flow_notes_and_configuration_pieces(self) -> None:
         """A note about one flow, and a piece of a configuration."""
-        note = messages.flow_note(messages.REFUSED, b'k' * 12, 5, 8)
+        note = messages.pack_flow_note(messages.REFUSED, b'k' * 12, 5, 8)
         self.assertEqual(messages.read_flow_note(note), (b'k' * 12, 5, 8))
         self.assertEqual(len(note), messages.FLOW_NOTE_BYTES)
         piece = messages.pack_piece(9, 1, 3, b'piece')
@@ -70,8 +70,8 @@
 
     def test_keys(self) -> None:
         """Several flow keys in one datagram; a truncated key is dropped."""
-        keys = [bytes((number,)) * 12 for number in range(messages.MOST_KEYS)]
-        raw = messages.pack_keys(messages.UNSURE, keys)
+        keys = [bytes((number,)) * 12 for number in range(messages.MAX_KEYS)]
+        raw = messages.pack_keys(messages.HELD_UNKNOWN, keys)
         self.assertLessEqual(len(raw), 1200)
         self.assertEqual(messages.read_keys(raw), keys)
         self.assertEqual(messages.read_keys(raw[:-1]), keys[:-1])
--- a/tests/relay/test_seeker.py
+++ b/tests/relay/test_seeker.py
@@ -71,7 +71,7 @@
             hosts_seen=loop.now,
             trusts_absence=lambda: True,
         )
-        gossip: Any = SimpleNamespace(want_hosts=bool)
+        gossip: Any = SimpleNamespace(request_hosts_read=bool)
         self.handlers = node.handlers
         self.loop = loop
         self.searcher = FlowSearcher(node, hosts, follower, gossip, self._reset)
@@ -120,10 +120,10 @@
             env.searcher.search(key, packet_of(key) + bytes(200))
         env.loop.now += 0.1
         env.searcher._send_queries()  # noqa: SLF001
-        handle = env.handlers[messages.UNSURE]
+        handle = env.handlers[messages.HELD_UNKNOWN]
         for ip, datagram in list(env.sent):
             keys = messages.read_keys(datagram)
-            handle(messages.pack_keys(messages.UNSURE, keys), ip)
+            handle(messages.pack_keys(messages.HELD_UNKNOWN, keys), ip)
         env.sent.clear()
         env.searcher._send_packets()  # noqa: SLF001
         relayed = [messages.read_relayed(raw)[1] for _, raw in env.sent]
