--- a/siskinbank/entry/flow_cache.py
+++ b/siskinbank/entry/flow_cache.py
@@ -30,14 +30,21 @@
         tried: hosts that the first packet was sent to.
     """
 
-    __slots__ = ('_holders', 'held', 'ip', 'kept_at', 'seen', 'tried')
-
-    def __init__(self, ip: str, seen: float) -> None:
+    __slots__ = (
+        '_holders',
+        'confirmed',
+        'ip',
+        'queued_at',
+        'last_seen',
+        'tried',
+    )
+
+    def __init__(self, ip: str, last_seen: float) -> None:
         """Initialize with the host that the first packet is sent to."""
         self.ip = ip
-        self.held = False
-        self.kept_at = ''
-        self.seen = seen
+        self.confirmed = False
+        self.queued_at = ''
+        self.last_seen = last_seen
         self.tried: tuple[str, ...] = (ip,)
         self._holders: dict[str, tuple[bool, int]] = {}
 
@@ -46,12 +53,12 @@
         """Whether several hosts hold the flow, open or half open."""
         return len(self._holders) > 1
 
-    def try_at(self, ip: str) -> None:
+    def add_tried(self, ip: str) -> None:
         """Record that the first packet is sent to another host."""
         self.ip = ip
         self.tried = (*self.tried, ip)
 
-    def hold(self, ip: str, number: int, established: bool) -> None:
+    def add_holder(self, ip: str, number: int, established: bool) -> None:
         """Record that a sidecar reports its host to hold the flow.
 
         Args:
@@ -61,10 +68,10 @@
         """
         if not self._holders or established:
             self.ip = ip
-        self.held = True
+        self.confirmed = True
         self._holders[ip] = (established, number)
 
-    def settle(self, acknowledged: int) -> None:
+    def select_holder(self, acknowledged: int) -> None:
         """Select the host that the client is connected to.
 
         Load pattern: a first packet and its retransmission were accepted by
@@ -129,6 +136,8 @@
     def sweep(self, now: float) -> None:
         """Remove idle flows."""
         oldest = now - _IDLE_TIMEOUT_S
-        idle = [key for key, flow in self._flows.items() if flow.seen < oldest]
+        idle = [
+            key for key, flow in self._flows.items() if flow.last_seen < oldest
+        ]
         for key in idle:
             self._flows.pop(key)
--- a/siskinbank/entry/flow_searches.py
+++ b/siskinbank/entry/flow_searches.py
@@ -2,11 +2,16 @@
 
 from __future__ import annotations
 
-__all__ = ('ASK_AGAIN_S', 'Search', 'Searches', 'may_still_answer')
+__all__ = (
+    'REPEAT_INTERVAL_S',
+    'FlowSearch',
+    'FlowSearches',
+    'may_still_answer',
+)
 
 # Interval in seconds at which hosts that have not answered are asked again:
 # many round trips, and less than a client's first retransmission timeout.
-ASK_AGAIN_S = 0.09
+REPEAT_INTERVAL_S = 0.09
 # Minimum pause in seconds before the same host is asked again.
 _MIN_REPEAT_PAUSE_S = 0.3
 # Time limit of a search, in seconds: a sidecar that was killed has restarted
@@ -30,7 +35,7 @@
 _MISSED_UPDATES = 3
 
 
-class Search:
+class FlowSearch:
     """The search for the host of one flow.
 
     Load pattern: all processes lost power. Clients retransmit packets of flows
@@ -51,7 +56,7 @@
         'absent',
         'first',
         'started_at',
-        'waiting',
+        'queued_packets',
     )
 
     def __init__(self, started_at: float, first: bytes) -> None:
@@ -59,11 +64,13 @@
         self.started_at = started_at
         self.first = first
         self.absent: set[str] = set()
-        self.waiting: list[bytes] = []
+        self.queued_packets: list[bytes] = []
         self._asked_at: dict[str, float] = {}
         self._outstanding: set[str] = set()
 
-    def to_ask(self, last_received: dict[str, float], now: float) -> list[str]:
+    def hosts_to_ask(
+        self, last_received: dict[str, float], now: float
+    ) -> list[str]:
         """Return the hosts to ask now and mark them as asked.
 
         Load pattern: hundreds of concurrent searches while dozens of hosts are
@@ -86,7 +93,7 @@
         self._outstanding.update(hosts)
         return hosts
 
-    def note_absent(self, ip: str) -> bool:
+    def add_absent(self, ip: str) -> bool:
         """Record that a host doesn't hold the flow.
 
         Load pattern: hundreds of searches at dozens of hosts, on entries with
@@ -99,52 +106,55 @@
         self._outstanding.discard(ip)
         return not self._outstanding
 
-    def keep(self, packet: bytes) -> None:
+    def queue_packet(self, packet: bytes) -> None:
         """Queue a packet until the host is found."""
-        if packet != self.first and len(self.waiting) < _MAX_QUEUED_PACKETS:
-            self.waiting.append(packet)
+        if (
+            packet != self.first
+            and len(self.queued_packets) < _MAX_QUEUED_PACKETS
+        ):
+            self.queued_packets.append(packet)
 
     def unanswered(self, hosts: list[str]) -> list[str]:
         """Return the hosts that have not answered yet."""
         return [ip for ip in hosts if ip not in self.absent]
 
 
-class Searches:
+class FlowSearches:
     """The searches of one entry, by flow key."""
 
     __slots__ = ('_searches',)
 
     def __init__(self) -> None:
         """Create an empty collection."""
-        self._searches: dict[bytes, Search] = {}
+        self._searches: dict[bytes, FlowSearch] = {}
 
     @property
     def full(self) -> bool:
         """Whether the limit of concurrent searches is reached."""
         return len(self._searches) >= _MAX_SEARCHES
 
-    def get(self, key: bytes) -> Search | None:
+    def get(self, key: bytes) -> FlowSearch | None:
         """Return the search for a flow, or None."""
         return self._searches.get(key)
 
-    def begin(self, key: bytes, search: Search) -> None:
+    def begin(self, key: bytes, search: FlowSearch) -> None:
         """Add a search."""
         self._searches[key] = search
 
-    def end(self, key: bytes) -> Search | None:
+    def end(self, key: bytes) -> FlowSearch | None:
         """Remove and return the search for a flow, or None."""
         return self._searches.pop(key, None)
 
-    def going_on(self, now: float) -> list[tuple[bytes, Search]]:
+    def ongoing(self, now: float) -> list[tuple[bytes, FlowSearch]]:
         """Return the searches that are old enough to ask hosts again."""
-        latest_start = now - ASK_AGAIN_S / 2
+        latest_start = now - REPEAT_INTERVAL_S / 2
         return [
             (key, search)
             for key, search in self._searches.items()
             if search.started_at < latest_start
         ]
 
-    def is_overdue(self, search: Search, now: float) -> bool:
+    def is_overdue(self, search: FlowSearch, now: float) -> bool:
         """Return whether a search has exceeded its time limit."""
         return now - search.started_at > _MAX_SEARCH_S
 
--- a/siskinbank/relay/entry.py
+++ b/siskinbank/relay/entry.py
@@ -130,13 +130,13 @@
             self._search_host(key, packet)
             return
         now = self._node.loop.now
-        flow.seen = now
+        flow.last_seen = now
         if flow.contested:
-            flow.settle(sequence_numbers(packet)[1])
+            flow.select_holder(sequence_numbers(packet)[1])
         if self._searcher.is_lost(key, flow.ip):
             self._reset(packet, 'host-gone')
             return
-        wrap = messages.pack_forward if flow.held else messages.search
+        wrap = messages.pack_forward if flow.confirmed else messages.search
         self._node.send(flow.ip, wrap(packet))
 
     # First packets.
@@ -144,7 +144,7 @@
     def _open_flow(self, packet: bytes) -> None:
         key = packet[FLOW_KEY]
         flow = self._flows.get(key)
-        if flow and flow.held:
+        if flow and flow.confirmed:
             # The answer is lost or in transit; the same host sends it again.
             opening = messages.Opening(self._node.packed_ip, packet)
             self._node.send(flow.ip, opening.pack())
@@ -176,8 +176,8 @@
             now,
         )
         tried = flow.tried if flow else ()
-        kept_at = flow.kept_at if flow else ''
-        chosen = candidates(hosts, ordered, tried, kept_at)
+        queued_at = flow.queued_at if flow else ''
+        chosen = candidates(hosts, ordered, tried, queued_at)
         if not chosen:
             self._refuse_unplaced(packet, hosts)
             return
@@ -186,8 +186,8 @@
         if flow is None:
             self._flows.add(key, first.ip, now)
         else:
-            flow.seen = now
-            flow.try_at(first.ip)
+            flow.last_seen = now
+            flow.add_tried(first.ip)
         self._node.log(
             'flow.placed',
             flow=describe(key),
@@ -287,15 +287,15 @@
         flow = self._flows.get(key)
         if flow is None:
             flow = self._flows.add(key, ip, self._node.loop.now)
-        flow.hold(ip, number, bool(established))
+        flow.add_holder(ip, number, bool(established))
         for packet in self._searcher.finish(key, ip):
             self._node.send(ip, messages.pack_forward(packet))
 
     def _handle_kept(self, raw: bytes, ip: str) -> None:
         key, _, _ = messages.read_flow_note(raw)
         flow = self._flows.get(key)
-        if flow and not flow.held:
-            flow.kept_at = ip
+        if flow and not flow.confirmed:
+            flow.queued_at = ip
 
     def _handle_absent(self, raw: bytes, ip: str) -> None:
         key, _, _ = messages.read_flow_note(raw)
@@ -311,9 +311,9 @@
         key, _, reason = messages.read_flow_note(raw)
         packet = raw[messages.FLOW_NOTE_BYTES :]
         flow = self._flows.get(key)
-        if flow is None or flow.held or len(packet) < HEAD_BYTES:
+        if flow is None or flow.confirmed or len(packet) < HEAD_BYTES:
             return
-        flow.kept_at = ''
+        flow.queued_at = ''
         tries = len(flow.tried)
         name = reasons.name_of(reason)
         self._node.log(
--- a/siskinbank/relay/seeker.py
+++ b/siskinbank/relay/seeker.py
@@ -11,9 +11,9 @@
 
 from siskinbank.beliefs.hosts import SILENT_S
 from siskinbank.entry.flow_searches import (
-    ASK_AGAIN_S,
-    Search,
-    Searches,
+    REPEAT_INTERVAL_S,
+    FlowSearch,
+    FlowSearches,
     may_still_answer,
 )
 from siskinbank.platform.packets import describe, route_key
@@ -95,7 +95,7 @@
         self._follower = follower
         self._gossip = gossip
         self._reset = reset
-        self._searches = Searches()
+        self._searches = FlowSearches()
         self._queries: dict[str, list[bytes]] = {}
         self._unsure_hosts: dict[bytes, list[bytes]] = {}
         self._last_round_at = NEVER
@@ -103,13 +103,13 @@
         self._round_scheduled = False
         node.handlers[messages.NOT_HELD] = self._handle_not_held
         node.handlers[messages.HELD_UNKNOWN] = self._handle_unsure
-        node.loop.every(ASK_AGAIN_S, self._continue_searches)
+        node.loop.every(REPEAT_INTERVAL_S, self._continue_searches)
 
     def search(self, key: bytes, packet: bytes) -> None:
         """Start a search for the host of a packet's flow, or join one."""
         search = self._searches.get(key)
         if search:
-            search.keep(packet)
+            search.queue_packet(packet)
             return
         if self._searches.full:
             self._node.meters.count('searches_refused_total')
@@ -119,7 +119,7 @@
             self._reset(packet, 'no-route')
             return
         now = self._node.loop.now
-        search = Search(now, packet)
+        search = FlowSearch(now, packet)
         self._searches.begin(key, search)
         hosts = self._hosts_of(route)
         self._node.meters.count('searches_total')
@@ -133,14 +133,14 @@
         if search is None:
             return []
         self._node.log('flow.found', flow=describe(key), host=ip)
-        return [search.first, *search.waiting]
+        return [search.first, *search.queued_packets]
 
-    def note_absent(self, key: bytes, ip: str) -> bool:
+    def add_absent(self, key: bytes, ip: str) -> bool:
         """Note that a host doesn't hold a flow; return whether it is sought."""
         search = self._searches.get(key)
         if search is None:
             return False
-        if search.note_absent(ip):
+        if search.add_absent(ip):
             route = self._route(key)
             hosts = self._hosts_of(route) if route else []
             if not search.unanswered(_addresses(hosts)):
@@ -183,11 +183,11 @@
         return ip not in follower.hosts and follower.trusts_absence()
 
     def _queue_query(
-        self, key: bytes, search: Search, hosts: list[HostBelief]
+        self, key: bytes, search: FlowSearch, hosts: list[HostBelief]
     ) -> None:
         """Add a flow to the pending queries of its hosts."""
         heard = {host.ip: host.heard for host in hosts}
-        for ip in search.to_ask(heard, self._node.loop.now):
+        for ip in search.hosts_to_ask(heard, self._node.loop.now):
             self._queries.setdefault(ip, []).append(key)
 
     def _schedule_round(self) -> None:
@@ -220,7 +220,7 @@
 
     def _handle_not_held(self, raw: bytes, ip: str) -> None:
         for key in messages.read_keys(raw):
-            self.note_absent(key, ip)
+            self.add_absent(key, ip)
 
     def _handle_unsure(self, raw: bytes, ip: str) -> None:
         """Schedule sending the packet to a host whose sidecar can't answer."""
@@ -253,7 +253,7 @@
     def _continue_searches(self) -> None:
         now = self._node.loop.now
         hosts_by_route: dict[Route | None, list[HostBelief]] = {None: []}
-        for key, search in self._searches.going_on(now):
+        for key, search in self._searches.ongoing(now):
             route = self._route(key)
             if route not in hosts_by_route:
                 hosts_by_route[route] = self._hosts_of(route) if route else []
@@ -276,7 +276,7 @@
     def _end_if_not_held(
         self,
         key: bytes,
-        search: Search,
+        search: FlowSearch,
         hosts: list[HostBelief],
         route: Route | None,
     ) -> bool:
@@ -289,7 +289,7 @@
 
     def _are_missing_hosts_gone(
         self,
-        search: Search,
+        search: FlowSearch,
         hosts: list[HostBelief],
         route: Route,
     ) -> bool:
--- a/tests/entry/test_flow_cache.py
+++ b/tests/entry/test_flow_cache.py
@@ -3,7 +3,11 @@
 import unittest
 
 from siskinbank.entry.flow_cache import CachedFlow, FlowCache
-from siskinbank.entry.flow_searches import ASK_AGAIN_S, Search, Searches
+from siskinbank.entry.flow_searches import (
+    REPEAT_INTERVAL_S,
+    FlowSearch,
+    FlowSearches,
+)
 
 
 class TestCachedFlow(unittest.TestCase):
@@ -13,19 +17,19 @@
         """Of two hosts that answered, the acknowledgement number decides."""
         for acknowledged, chosen in ((101, 'a'), (5001, 'b'), (4999, 'a')):
             flow = CachedFlow('a', 0)
-            flow.hold('a', 100, established=False)
+            flow.add_holder('a', 100, established=False)
             self.assertFalse(flow.contested)
-            flow.hold('b', 5000, established=False)
+            flow.add_holder('b', 5000, established=False)
             self.assertTrue(flow.contested)
-            flow.settle(acknowledged)
+            flow.select_holder(acknowledged)
             self.assertEqual((flow.ip, flow.contested), (chosen, False))
 
     def test_numbers_wrap(self) -> None:
         """Sequence numbers wrap at 32 bits."""
         flow = CachedFlow('a', 0)
-        flow.hold('a', 7, established=False)
-        flow.hold('b', 0xFFFFFFF0, established=False)
-        flow.settle(3)
+        flow.add_holder('a', 7, established=False)
+        flow.add_holder('b', 0xFFFFFFF0, established=False)
+        flow.select_holder(3)
         self.assertEqual(flow.ip, 'b')
 
     def test_established_host_before_sequence_numbers(self) -> None:
@@ -33,9 +37,11 @@
         for reports in (('a', 'b'), ('b', 'a')):
             flow = CachedFlow('a', 0)
             for ip in reports:
-                flow.hold(ip, 0 if ip == 'b' else 100, established=ip == 'b')
+                flow.add_holder(
+                    ip, 0 if ip == 'b' else 100, established=ip == 'b'
+                )
             self.assertEqual(flow.ip, 'b')
-            flow.settle(101)
+            flow.select_holder(101)
             self.assertEqual(flow.ip, 'b')
 
 
@@ -60,46 +66,50 @@
 
     def test_limits(self) -> None:
         """Load pattern: a router moves all flows of an entry at once."""
-        searches = Searches()
+        searches = FlowSearches()
         number = 0
         while not searches.full:
-            searches.begin(str(number).encode(), Search(0, b''))
+            searches.begin(str(number).encode(), FlowSearch(0, b''))
             number += 1
         self.assertLessEqual(number, 512)
-        self.assertEqual(searches.going_on(0.01), [])
-        self.assertEqual(len(searches.going_on(ASK_AGAIN_S)), number)
+        self.assertEqual(searches.ongoing(0.01), [])
+        self.assertEqual(len(searches.ongoing(REPEAT_INTERVAL_S)), number)
         search = searches.end(b'0')
         self.assertIsNone(searches.get(b'0'))
         for step in range(100):
             if search:
-                search.keep(str(step).encode())
-        self.assertEqual(search and len(search.waiting), 16)
+                search.queue_packet(str(step).encode())
+        self.assertEqual(search and len(search.queued_packets), 16)
 
     def test_returning_hosts_are_asked(self) -> None:
         """Load pattern: sidecars restart one by one after a loss of power."""
-        search = Search(0, b'first')
+        search = FlowSearch(0, b'first')
         self.assertEqual(search.unanswered(['a']), ['a'])
         search.absent.add('a')
         self.assertEqual(search.unanswered(['a', 'b']), ['b'])
-        searches = Searches()
+        searches = FlowSearches()
         self.assertFalse(searches.is_overdue(search, 1))
         self.assertTrue(searches.is_overdue(search, 1.3))
 
     def test_dead_hosts_are_asked_once(self) -> None:
         """Load pattern: many searches while dozens of hosts are dead."""
-        search = Search(100, b'first')
+        search = FlowSearch(100, b'first')
         last_received = {'dead': 99.5, 'alive': 99.9}
-        self.assertEqual(search.to_ask(last_received, 100), ['dead', 'alive'])
+        self.assertEqual(
+            search.hosts_to_ask(last_received, 100), ['dead', 'alive']
+        )
         for step in range(1, 12):
-            self.assertEqual(search.to_ask(last_received, 100 + step / 10), [])
+            self.assertEqual(
+                search.hosts_to_ask(last_received, 100 + step / 10), []
+            )
         last_received['alive'] = 101.1
-        self.assertEqual(search.to_ask(last_received, 101.2), ['alive'])
+        self.assertEqual(search.hosts_to_ask(last_received, 101.2), ['alive'])
         search.absent.add('alive')
         last_received['alive'] = 101.5
-        self.assertEqual(search.to_ask(last_received, 101.6), [])
+        self.assertEqual(search.hosts_to_ask(last_received, 101.6), [])
 
     def test_first_packet_is_not_queued(self) -> None:
         """A retransmission of the first packet was sent to the hosts already."""
-        search = Search(0, b'first')
-        search.keep(b'first')
-        self.assertEqual(search.waiting, [])
+        search = FlowSearch(0, b'first')
+        search.queue_packet(b'first')
+        self.assertEqual(search.queued_packets, [])
--- a/tests/entry/test_flow_searches.py
+++ b/tests/entry/test_flow_searches.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from siskinbank.entry.flow_searches import Search, may_still_answer
+from siskinbank.entry.flow_searches import FlowSearch, may_still_answer
 
 HOSTS = {'10.0.0.1': 99.0, '10.0.0.2': 99.0}
 
@@ -12,19 +12,19 @@
 
     def test_a_dead_host_is_asked_once(self) -> None:
         """A dead host is asked again only after a message from its sidecar."""
-        search = Search(100, b'packet')
-        self.assertEqual(search.to_ask(HOSTS, 100), list(HOSTS))
+        search = FlowSearch(100, b'packet')
+        self.assertEqual(search.hosts_to_ask(HOSTS, 100), list(HOSTS))
         search.absent.add('10.0.0.1')
-        self.assertEqual(search.to_ask(HOSTS, 100.4), [])
+        self.assertEqual(search.hosts_to_ask(HOSTS, 100.4), [])
         restarted = {**HOSTS, '10.0.0.2': 100.2}
-        self.assertEqual(search.to_ask(restarted, 100.4), ['10.0.0.2'])
+        self.assertEqual(search.hosts_to_ask(restarted, 100.4), ['10.0.0.2'])
 
     def test_last_answer(self) -> None:
         """Only the last outstanding answer ends the search."""
-        search = Search(100, b'packet')
-        search.to_ask(HOSTS, 100)
-        self.assertFalse(search.note_absent('10.0.0.1'))
-        self.assertTrue(search.note_absent('10.0.0.2'))
+        search = FlowSearch(100, b'packet')
+        search.hosts_to_ask(HOSTS, 100)
+        self.assertFalse(search.add_absent('10.0.0.1'))
+        self.assertTrue(search.add_absent('10.0.0.2'))
 
     def test_wait_for_silent_host(self) -> None:
         """The wait is shorter if a request may run again."""
