--- a/siskinbank/choice/homes.py
+++ b/siskinbank/choice/homes.py
@@ -24,7 +24,7 @@
     return tuple(
         host
         for host in service.hosts
-        if site.takes_work(host) and host.name not in leaving
+        if site.accepts_work(host) and host.name not in leaving
     )
 
 
--- a/siskinbank/choice/router.py
+++ b/siskinbank/choice/router.py
@@ -86,7 +86,7 @@
         accepting = tuple(
             host
             for host in present
-            if site.takes_work(host) and host.name not in leaving
+            if site.accepts_work(host) and host.name not in leaving
         )
         if old and (old.hosts, old.accepting) == (present, accepting):
             return old
--- a/siskinbank/config/site.py
+++ b/siskinbank/config/site.py
@@ -116,7 +116,7 @@
         centre = self.data_centres[host.data_centre]
         return centre.state is CentreState.out
 
-    def takes_work(self, host: Host) -> bool:
+    def accepts_work(self, host: Host) -> bool:
         """Return whether the host may receive new work."""
         return host.state is HostState.active and not self.is_out(host)
 
--- a/siskinbank/lab/fairness.py
+++ b/siskinbank/lab/fairness.py
@@ -125,12 +125,12 @@
 
 
 def _delay(pool: Pool, exchange: Any, lag: float) -> None:
-    learn = exchange.learn
+    receive_report = exchange.receive_report
 
     def learn_late(received: PoolLoad) -> None:
-        pool.network.after(lag, lambda: learn(received))
+        pool.network.after(lag, lambda: receive_report(received))
 
-    exchange.learn = learn_late
+    exchange.receive_report = learn_late
 
 
 def _count_exchange(pool: Pool) -> list[int]:
--- a/siskinbank/lab/traffic.py
+++ b/siskinbank/lab/traffic.py
@@ -212,7 +212,7 @@
 
 def _has_room(sidecar: PoolSidecar) -> bool:
     limits = sidecar.context.limits
-    if limits is None or not sidecar.context.takes_work:
+    if limits is None or not sidecar.context.accepts_work:
         return False
     return limits.connections.is_full and limits.connections.room > 0
 
--- a/siskinbank/relay/openings.py
+++ b/siskinbank/relay/openings.py
@@ -18,7 +18,7 @@
     sequence_numbers,
 )
 from siskinbank.relay import messages
-from siskinbank.sidecar.held_flows import Waiting
+from siskinbank.sidecar.held_flows import PendingPacket
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
@@ -27,7 +27,7 @@
     from siskinbank.beliefs.own_host import OwnHost
     from siskinbank.relay.node import Node
     from siskinbank.relay.reports import StatusReporter
-    from siskinbank.sidecar.held_flows import HeldFlow
+    from siskinbank.sidecar.held_flows import TrackedFlow
 
 __all__ = ('FlowAdmission', 'check_packet_head')
 
@@ -64,8 +64,8 @@
         node: Node,
         host: OwnHost,
         reporter: StatusReporter,
-        flows: dict[bytes, HeldFlow],
-        waiting: dict[bytes, Waiting],
+        flows: dict[bytes, TrackedFlow],
+        waiting: dict[bytes, PendingPacket],
         deliver: Callable[[bytes], None],
     ) -> None:
         """Initialize flow admission and register the message handler.
@@ -88,7 +88,9 @@
         self._deliver = deliver
         node.handlers[messages.OPEN] = self._handle_open
 
-    def note_host_refusal(self, key: bytes, waiting: Waiting | None) -> None:
+    def note_host_refusal(
+        self, key: bytes, waiting: PendingPacket | None
+    ) -> None:
         """Handle a first packet that the host has refused."""
         self._host.arriving.end(key)
         if self._host.refusing.note_refusal(self._node.loop.now):
@@ -238,7 +240,7 @@
         opening = queued.opening
         host = self._host
         host.note_taken(key, now)
-        waiting = Waiting(inet_ntoa(opening.entry), now, opening.packet)
+        waiting = PendingPacket(inet_ntoa(opening.entry), now, opening.packet)
         waiting.opening = opening
         self._waiting[key] = waiting
         self._node.log(
--- a/siskinbank/relay/request_watch.py
+++ b/siskinbank/relay/request_watch.py
@@ -10,7 +10,7 @@
 
     from siskinbank.beliefs.own_host import OwnHost
     from siskinbank.relay.node import Node
-    from siskinbank.sidecar.held_flows import HeldFlow, Request
+    from siskinbank.sidecar.held_flows import TrackedFlow, Request
 
 __all__ = ('RequestTracker',)
 
@@ -40,10 +40,12 @@
         self._node = node
         self._host = host
 
-    def track_packet(self, key: bytes, flow: HeldFlow, packet: bytes) -> None:
+    def track_packet(
+        self, key: bytes, flow: TrackedFlow, packet: bytes
+    ) -> None:
         """Process a packet from a client, which may start a request."""
         before = flow.request
-        request = flow.take_packet(packet, self._node.loop.now)
+        request = flow.track_packet(packet, self._node.loop.now)
         if request is None:
             return
         host = self._host
@@ -60,10 +62,12 @@
             busy=host.busy,
         )
 
-    def track_answer(self, key: bytes, flow: HeldFlow, packet: bytes) -> None:
+    def track_answer(
+        self, key: bytes, flow: TrackedFlow, packet: bytes
+    ) -> None:
         """Process a packet from the host, which may end a request."""
         now = self._node.loop.now
-        answer = flow.take_answer(packet, now)
+        answer = flow.track_answer(packet, now)
         if answer is None:
             if flow.request and flags_of(packet) & (FIN | RST):
                 self._schedule_end(key, flow, flow.request)
@@ -73,7 +77,7 @@
             self._node.meters.count('requests_shed_total')
         self.end(key, flow, answer.status)
 
-    def end(self, key: bytes, flow: HeldFlow, outcome: str) -> None:
+    def end(self, key: bytes, flow: TrackedFlow, outcome: str) -> None:
         """End the request of a flow, if there is one."""
         request = flow.request
         if request is None:
@@ -99,7 +103,7 @@
     def _schedule_end(
         self,
         key: bytes,
-        flow: HeldFlow,
+        flow: TrackedFlow,
         request: Request,
     ) -> None:
         """End a request after a delay, as its host has closed the flow.
--- a/siskinbank/relay/sidecar.py
+++ b/siskinbank/relay/sidecar.py
@@ -33,7 +33,7 @@
 from siskinbank.relay.records import record_for
 from siskinbank.relay.reports import StatusReporter
 from siskinbank.relay.request_watch import RequestTracker
-from siskinbank.sidecar.held_flows import HeldFlow, Waiting
+from siskinbank.sidecar.held_flows import TrackedFlow, PendingPacket
 
 __all__ = ('Sidecar',)
 
@@ -77,8 +77,8 @@
         settings = node.settings
         if settings.host_address is None or settings.host_output is None:
             raise OSError('settings lack the address or output of the host')
-        self._flows: dict[bytes, HeldFlow] = {}
-        self._waiting: dict[bytes, Waiting] = {}
+        self._flows: dict[bytes, TrackedFlow] = {}
+        self._waiting: dict[bytes, PendingPacket] = {}
         self._stop_at: float = 0
         self._started = node.loop.now
         service = messages.digest(settings.service or '')
@@ -159,11 +159,13 @@
         except OSError:
             self._node.meters.count('send_errors_total')
 
-    def _add_flow(self, key: bytes, waiting: Waiting | None) -> HeldFlow:
+    def _add_flow(
+        self, key: bytes, waiting: PendingPacket | None
+    ) -> TrackedFlow:
         """Add the flow of a first packet from the host to the table."""
         client = (client_address(key), self._node.settings.packet_port)
         entry = waiting.entry if waiting else ''
-        flow = HeldFlow(entry, client, self._node.loop.now)
+        flow = TrackedFlow(entry, client, self._node.loop.now)
         self._flows[key] = flow
         if waiting and not flags_of(waiting.packet) & SYN:
             self._tracker.track_packet(key, flow, waiting.packet)
@@ -192,7 +194,7 @@
         elif flow.entry:
             self._send_absent(key, flow.entry, packet)
 
-    def _send_held(self, key: bytes, flow: HeldFlow) -> None:
+    def _send_held(self, key: bytes, flow: TrackedFlow) -> None:
         if flow.entry:
             note = messages.pack_flow_note(
                 messages.HELD,
@@ -202,7 +204,7 @@
             )
             self._node.send(flow.entry, note)
 
-    def _send_not_held(self, key: bytes, waiting: Waiting) -> None:
+    def _send_not_held(self, key: bytes, waiting: PendingPacket) -> None:
         """Answer a query for a flow that the host doesn't hold."""
         if waiting.relayed:
             note = messages.pack_keys(messages.NOT_HELD, [key])
@@ -254,7 +256,7 @@
         key = packet[FLOW_KEY]
         flow = self._flows.get(key)
         if flow is None:
-            waiting = Waiting(entry, self._node.loop.now, packet)
+            waiting = PendingPacket(entry, self._node.loop.now, packet)
             waiting.searching = searching
             waiting.relayed = relayed
             self._waiting[key] = waiting
@@ -383,7 +385,7 @@
                 self._waiting.pop(key)
 
 
-def _timeout_outcome(flow: HeldFlow, now: float) -> str:
+def _timeout_outcome(flow: TrackedFlow, now: float) -> str:
     """Return the outcome of a flow that has timed out, empty if it hasn't."""
     ended = flow.ended and now - flow.ended > _ENDED_FLOW_TTL_S
     if ended or now - flow.seen > _IDLE_TIMEOUT_S:
--- a/siskinbank/sidecar/context.py
+++ b/siskinbank/sidecar/context.py
@@ -73,7 +73,7 @@
         return site.is_out(self.host)
 
     @property
-    def takes_work(self) -> bool:
+    def accepts_work(self) -> bool:
         """Return whether this upstream may get new work."""
         return self.refusal is None
 
@@ -89,7 +89,7 @@
         if site is None or self.host is None:
             return Refusal.draining
         leaving = self.host.name in self.view.leaving
-        if leaving or not site.takes_work(self.host):
+        if leaving or not site.accepts_work(self.host):
             return Refusal.draining
         if self.process.stopping.is_set():
             return Refusal.draining
--- a/siskinbank/sidecar/exchange.py
+++ b/siskinbank/sidecar/exchange.py
@@ -46,7 +46,7 @@
         """Send one round of load reports."""
         service = self._context.service
         host = self._context.host
-        if service is None or host is None or not self._context.takes_work:
+        if service is None or host is None or not self._context.accepts_work:
             return
         peers = self.loads.hosts
         sent = self._report(service, host)
@@ -54,7 +54,7 @@
             self._context.peers.send_message(sent, peer.address)
         self.loads.refresh()
 
-    def learn(self, received: PoolLoad) -> None:
+    def receive_report(self, received: PoolLoad) -> None:
         """Store the loads of a report; count and drop an invalid one."""
         service = self._context.service
         if service is None or received.service != service.ident:
@@ -92,7 +92,7 @@
         self.loads.follow(
             host
             for host in service.hosts
-            if site.takes_work(host)
+            if site.accepts_work(host)
             and host.name not in leaving
             and host.name != self._context.process.name
         )
--- a/siskinbank/sidecar/held_flows.py
+++ b/siskinbank/sidecar/held_flows.py
@@ -19,7 +19,7 @@
 if TYPE_CHECKING:
     from siskinbank.relay.messages import Opening
 
-__all__ = ('HeldFlow', 'Request', 'Waiting')
+__all__ = ('TrackedFlow', 'Request', 'PendingPacket')
 
 _NO_SEQUENCE = -1
 
@@ -42,7 +42,7 @@
         self.waited = False
 
 
-class HeldFlow:
+class TrackedFlow:
     """A flow that the host has accepted.
 
     Attributes:
@@ -80,7 +80,7 @@
         self.ended: float = 0
         self._last_request = _NO_SEQUENCE
 
-    def take_packet(self, packet: bytes, now: float) -> Request | None:
+    def track_packet(self, packet: bytes, now: float) -> Request | None:
         """Track a client's packet; return the request it starts, if any."""
         self.seen = now
         self.head = packet[:HEAD_BYTES]
@@ -94,13 +94,13 @@
         self.request = Request(now, request_id(packet))
         return self.request
 
-    def take_answer(self, packet: bytes, now: float) -> Answer | None:
+    def track_answer(self, packet: bytes, now: float) -> Answer | None:
         """Track a host's packet; return the answer it starts, if any."""
         self.seen = now
         return read_answer(packet) if self.request else None
 
 
-class Waiting:
+class PendingPacket:
     """A packet sent to the host, whose flow the host may refuse or not know.
 
     Attributes:
--- a/siskinbank/sidecar/packets.py
+++ b/siskinbank/sidecar/packets.py
@@ -146,7 +146,7 @@
     def receive_message(self, received: Message, _sender: Address) -> None:
         """Handle announcements of loads, of flows elsewhere and of restarts."""
         if isinstance(received, PoolLoad):
-            self.exchange.learn(received)
+            self.exchange.receive_report(received)
         elif isinstance(received, Moved | Started):
             self._receive_ownership(received)
 
@@ -181,7 +181,7 @@
         owned = self.flows.get(flow)
         if owned is None:
             return False
-        if packet.first and owned.closing and not self._context.takes_work:
+        if packet.first and owned.closing and not self._context.accepts_work:
             self.flows.remove(flow)
             self._accounting.release((owned,))
             return False
@@ -293,7 +293,7 @@
     def _admit(self, envelope: Envelope, packet: InnerPacket) -> bool:
         admission = self._context.admission
         host = self._context.host
-        if admission is None or host is None or not self._context.takes_work:
+        if admission is None or host is None or not self._context.accepts_work:
             return False
         if not try_admit(envelope, admission, self.exchange.loads, host.weight):
             return False
@@ -410,7 +410,7 @@
         limits = self._context.limits
         if limits is None:
             return
-        has_room = self._context.takes_work and limits.connections.room
+        has_room = self._context.accepts_work and limits.connections.room
         choose_candidates(
             envelope,
             self._own_address if has_room else None,
--- a/tests/config/test_sections.py
+++ b/tests/config/test_sections.py
@@ -61,7 +61,7 @@
         site = make_site(self.model, self.manifest)
         hosts = site.services['campo'].hosts
         self.assertEqual(
-            [site.takes_work(host) for host in hosts], [True, False]
+            [site.accepts_work(host) for host in hosts], [True, False]
         )
         self.assertEqual([site.is_out(host) for host in hosts], [False, True])
 
--- a/tests/relay/test_request_watch.py
+++ b/tests/relay/test_request_watch.py
@@ -10,7 +10,7 @@
 from siskinbank.platform.packets import ACK, FIN, FLOW_KEY, RST
 from siskinbank.relay.meters import Meters
 from siskinbank.relay.request_watch import RequestTracker
-from siskinbank.sidecar.held_flows import HeldFlow
+from siskinbank.sidecar.held_flows import TrackedFlow
 
 CLIENT = ('100.64.0.7', 40001)
 SERVICE = ('198.18.0.1', 443)
@@ -49,7 +49,7 @@
         node: Any = SimpleNamespace(loop=loop, meters=Meters(), log=self._log)
         self.host = OwnHost(1, 100, 0)
         self.tracker = RequestTracker(node, self.host)
-        self.flow = HeldFlow(ENTRY, CLIENT, 100)
+        self.flow = TrackedFlow(ENTRY, CLIENT, 100)
         packet = Packet(CLIENT, SERVICE, ACK, content=request_bytes('a'))
         self.key = packet.write()[FLOW_KEY]
         self.tracker.track_packet(self.key, self.flow, packet.write())
--- a/tests/sidecar/test_context.py
+++ b/tests/sidecar/test_context.py
@@ -24,7 +24,7 @@
             context.view.follow_freshness(bool, lambda: None)
         if given.get('stopping'):
             context.process.stopping.set()
-        self.assertEqual(context.takes_work, context.refusal is None)
+        self.assertEqual(context.accepts_work, context.refusal is None)
         return context.refusal
 
     def test_reasons(self) -> None:
