--- a/siskinbank/admission/arrivals.py
+++ b/siskinbank/admission/arrivals.py
@@ -19,10 +19,10 @@
     'ProcessingTime',
     'QueueCapacity',
     'RefusalBackoff',
-    'longest_wait_s',
-    'nobody_is_final',
+    'max_wait_s',
+    'no_host_is_final',
     'refusal_is_final',
-    'where_to_wait',
+    'queueing_decision',
 )
 
 # Length of the sliding window in seconds, with room for the jitter between the
@@ -229,12 +229,12 @@
         return now < self._until
 
 
-def longest_wait_s(limit_s: float) -> float:
+def max_wait_s(limit_s: float) -> float:
     """Return the longest time that a request may wait and still be in time."""
     return limit_s * _MAX_WAIT_SHARE
 
 
-def where_to_wait(
+def queueing_decision(
     wait_s: float | None,
     longest_s: float,
     best_wait_s: float | None,
@@ -279,10 +279,10 @@
         reason: why the flow was refused.
         copy: how many transmissions of the first packet came before.
     """
-    return nobody_is_final([reason], copy)
+    return no_host_is_final([reason], copy)
 
 
-def nobody_is_final(states: list[int], copy: int) -> bool:
+def no_host_is_final(states: list[int], copy: int) -> bool:
     """Return whether the caller is told now that no host accepts its flow.
 
     Args:
--- a/siskinbank/admission/judge.py
+++ b/siskinbank/admission/judge.py
@@ -7,7 +7,7 @@
 
 from siskinbank.kernel.clock import Clock
 
-__all__ = ('Health', 'LoadReport', 'UpstreamJudge', 'Verdict')
+__all__ = ('Health', 'LoadReport', 'HealthMonitor', 'Verdict')
 
 #: Failures in a row after which the upstream counts as unreachable.
 _UNREACHABLE_FAILURES = 3
@@ -65,7 +65,7 @@
     uptime: float | None = None
 
 
-class UpstreamJudge:
+class HealthMonitor:
     """Turns answers, failures and reports of an upstream into verdicts.
 
     A report can only lower the limit. What raises the limit is time and good
--- a/siskinbank/admission/places.py
+++ b/siskinbank/admission/places.py
@@ -5,7 +5,7 @@
 from siskinbank.admission.limit import ClimbingLimit
 from siskinbank.kernel.clock import Clock
 
-__all__ = ('FlowPlaces',)
+__all__ = ('FlowSuspension',)
 
 #: Seconds without packets after the caller's last data, after which the flow's
 #: unit of the limit is free.
@@ -17,7 +17,7 @@
 _ENDED_SECONDS = 10
 
 
-class FlowPlaces:
+class FlowSuspension:
     """Suspends flows when the upstream turns cold, and resumes them later.
 
     A suspended flow stays owned, and its packets are dropped until the
--- a/siskinbank/admission/reasons.py
+++ b/siskinbank/admission/reasons.py
@@ -8,12 +8,12 @@
     'DRAINING',
     'FULL',
     'HOST_REFUSED',
-    'LOCAL',
+    'HOST_SPECIFIC',
     'NAMES',
     'NONE',
     'OTHER_SERVICE',
     'OUT',
-    'PASSING',
+    'TRANSIENT',
     'REFUSING',
     'SHORT_LIVED',
     'STOPPING',
@@ -55,11 +55,11 @@
 
 # Reasons that may no longer hold at the next packet; the others hold until the
 # next host status.
-PASSING = frozenset((COLD, BUSY, HOST_REFUSED, FULL))
+TRANSIENT = frozenset((COLD, BUSY, HOST_REFUSED, FULL))
 # Reasons that end before a client abandons its first packet.
 SHORT_LIVED = frozenset((COLD, FULL, UNREACHABLE, REFUSING))
 # Reasons for which hosts other than those asked may accept the flow.
-LOCAL = frozenset(
+HOST_SPECIFIC = frozenset(
     (
         OTHER_SERVICE,
         DRAINING,
--- a/siskinbank/admission/upstream.py
+++ b/siskinbank/admission/upstream.py
@@ -3,9 +3,9 @@
 from collections.abc import Callable, Hashable, Iterable
 from dataclasses import dataclass
 
-from siskinbank.admission.judge import UpstreamJudge, Verdict
+from siskinbank.admission.judge import HealthMonitor, Verdict
 from siskinbank.admission.limit import ClimbingLimit
-from siskinbank.admission.places import FlowPlaces
+from siskinbank.admission.places import FlowSuspension
 from siskinbank.config.site import Service
 from siskinbank.kernel.clock import Clock
 
@@ -40,8 +40,8 @@
     """Admission state of one upstream, and the monitor that updates it."""
 
     limits: Limits
-    places: FlowPlaces
-    judge: UpstreamJudge
+    places: FlowSuspension
+    judge: HealthMonitor
     owned_flows: OwnedFlows
 
     @property
@@ -94,8 +94,8 @@
 
     admission = UpstreamAdmission(
         limits,
-        FlowPlaces(limits.connections, clock),
-        UpstreamJudge(clock, apply_verdict, 2 * max(cold.warm_up_seconds, 1)),
+        FlowSuspension(limits.connections, clock),
+        HealthMonitor(clock, apply_verdict, 2 * max(cold.warm_up_seconds, 1)),
         owned_flows,
     )
     return admission
--- a/siskinbank/admission/waiting_room.py
+++ b/siskinbank/admission/waiting_room.py
@@ -14,7 +14,7 @@
 
 from __future__ import annotations
 
-__all__ = ('KeptOpening', 'WaitingRoom', 'sent_ago_s')
+__all__ = ('QueuedOpening', 'PendingQueue', 'sent_ago_s')
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
@@ -55,7 +55,7 @@
     return _SENT_AT_S[min(copy, len(_SENT_AT_S) - 1)]
 
 
-class KeptOpening:
+class QueuedOpening:
     """A queued first packet.
 
     Attributes:
@@ -65,41 +65,41 @@
         aim_s: target latency of the client, in seconds.
     """
 
-    __slots__ = ('aim_s', 'opening', 'sent', 'since')
+    __slots__ = ('target_latency_s', 'opening', 'sent', 'queued_at')
 
     def __init__(
         self,
         opening: Opening,
-        since: float,
+        queued_at: float,
         sent: float,
-        aim_s: float,
+        target_latency_s: float,
     ) -> None:
         """Initialize the queue item."""
         self.opening = opening
-        self.since = since
+        self.queued_at = queued_at
         self.sent = sent
-        self.aim_s = aim_s
+        self.target_latency_s = target_latency_s
 
     def in_time_at(self, now: float, work_s: float) -> bool:
         """Return whether an answer would be in time, with a slot free now."""
         needed = _PROCESSING_FACTOR * work_s + _NETWORK_S
-        return now + needed < self.sent + self.aim_s
+        return now + needed < self.sent + self.target_latency_s
 
 
-class WaitingRoom:
+class PendingQueue:
     """The queue of first packets of one sidecar, in order of arrival."""
 
     __slots__ = ('_queued',)
 
     def __init__(self) -> None:
         """Create an empty queue."""
-        self._queued: dict[bytes, KeptOpening] = {}
+        self._queued: dict[bytes, QueuedOpening] = {}
 
     def __len__(self) -> int:
         """Return the number of queued packets."""
         return len(self._queued)
 
-    def get(self, key: bytes) -> KeptOpening | None:
+    def get(self, key: bytes) -> QueuedOpening | None:
         """Return the queued packet of a flow."""
         return self._queued.get(key)
 
@@ -108,11 +108,11 @@
         """Whether the queue is full."""
         return len(self._queued) >= _MAX_QUEUED
 
-    def keep(self, key: bytes, queued: KeptOpening) -> None:
+    def enqueue(self, key: bytes, queued: QueuedOpening) -> None:
         """Add a packet to the queue."""
         self._queued[key] = queued
 
-    def ahead_of(self, queued: KeptOpening, now: float, work_s: float) -> int:
+    def ahead_of(self, queued: QueuedOpening, now: float, work_s: float) -> int:
         """Return how many flows would get a slot before a new one."""
         if not queued.in_time_at(now, work_s):
             return len(self._queued)
@@ -128,7 +128,7 @@
         now: float,
         work_s: float,
         free: int,
-    ) -> tuple[bytes, KeptOpening] | None:
+    ) -> tuple[bytes, QueuedOpening] | None:
         """Remove and return the flow that goes to the host, None if none may.
 
         Args:
@@ -151,7 +151,7 @@
             return None
         return chosen, self._queued.pop(chosen)
 
-    def drop_given_up(self, now: float) -> list[tuple[bytes, KeptOpening]]:
+    def remove_abandoned(self, now: float) -> list[tuple[bytes, QueuedOpening]]:
         """Remove and return the flows that their clients have abandoned."""
         edge = now - _ABANDONED_S
         gone = [
@@ -159,7 +159,7 @@
         ]
         return [(key, self._queued.pop(key)) for key in gone]
 
-    def clear(self) -> list[tuple[bytes, KeptOpening]]:
+    def clear(self) -> list[tuple[bytes, QueuedOpening]]:
         """Remove and return all queued packets."""
         all_queued = list(self._queued.items())
         self._queued.clear()
--- a/siskinbank/beliefs/freshness.py
+++ b/siskinbank/beliefs/freshness.py
@@ -10,12 +10,12 @@
 from __future__ import annotations
 
 __all__ = (
-    'StoreReturn',
-    'hosts_patience_s',
-    'operator_patience_s',
+    'StoreAvailability',
+    'hosts_read_age_s',
+    'operator_read_age_s',
     'pause_after_failures_s',
-    'rank_of',
-    'sidecar_reads',
+    'reader_rank',
+    'sidecar_should_read',
 )
 
 # Ages at which data is read again, in seconds. From a host's announcement that
@@ -50,7 +50,7 @@
 _MAX_PAUSE_OTHERS_S = 1.6
 
 
-class StoreReturn:
+class StoreAvailability:
     """Tells whether a host without an entry in the store is gone.
 
     Load pattern: entries expire during an outage of the store, and are
@@ -75,7 +75,7 @@
         if self._returned_at is None or now - confirmed > _OUTAGE_S:
             self._returned_at = now
 
-    def trusts_absence(self, now: float) -> bool:
+    def absence_is_reliable(self, now: float) -> bool:
         """Return whether a missing entry means that its host is gone."""
         return (
             self._returned_at is not None
@@ -83,26 +83,26 @@
         )
 
 
-def rank_of(own: bytes, others: list[bytes]) -> int:
+def reader_rank(own: bytes, others: list[bytes]) -> int:
     """Return the rank of an address among the live ones, 0 for the first."""
     return sum(1 for other in others if other < own)
 
 
-def hosts_patience_s(rank: int) -> float:
+def hosts_read_age_s(rank: int) -> float:
     """Return the age in seconds at which the hosts' entries are read again."""
     if rank == 0:
         return _HOSTS_AGE_FIRST_S
     return _HOSTS_AGE_NEXT_S + _RANK_STEP_S * min(rank - 1, _MAX_STEPS)
 
 
-def operator_patience_s(rank: int) -> float:
+def operator_read_age_s(rank: int) -> float:
     """Return the age in seconds at which the operator's keys are watched."""
     if rank == 0:
         return 0
     return _OPERATOR_AGE_NEXT_S + _RANK_STEP_S * min(rank - 1, _MAX_STEPS)
 
 
-def sidecar_reads(
+def sidecar_should_read(
     now: float,
     started: float,
     confirmed: float,
--- a/siskinbank/beliefs/hosts.py
+++ b/siskinbank/beliefs/hosts.py
@@ -7,7 +7,7 @@
 from siskinbank.admission import reasons
 from siskinbank.relay.messages import Status
 
-__all__ = ('SILENT_S', 'HostBelief', 'HostBeliefs')
+__all__ = ('SILENT_S', 'TrackedHost', 'HostTable')
 
 # A sidecar sends a status every 0.4 s; it counts as silent, in seconds, after
 # three missed ones.
@@ -25,7 +25,7 @@
 _INTERVAL_DECAY = 0.8
 
 
-class HostBelief:
+class TrackedHost:
     """The known state of one host.
 
     Attributes:
@@ -40,73 +40,77 @@
     """
 
     __slots__ = (
-        'heard',
-        'heard_first',
+        'last_seen',
+        'first_seen',
         'ip',
         'left',
-        'pause_s',
+        'usual_interval_s',
         'packed',
         'pending',
         'status',
     )
 
-    def __init__(self, ip: str, status: Status, heard: float) -> None:
+    def __init__(self, ip: str, status: Status, last_seen: float) -> None:
         """Create the state from a first status."""
         self.ip = ip
         self.packed = inet_aton(ip)
         self.status = status
-        self.heard = heard
-        self.heard_first = heard
+        self.last_seen = last_seen
+        self.first_seen = last_seen
         self.pending = 0
         self.left = False
-        self.pause_s: float = 0
+        self.usual_interval_s: float = 0
 
     def has_left(self, now: float) -> bool:
         """Return whether a host without an entry in the store became silent."""
         if self.status.state == reasons.UNREGISTERED:
-            self.left = self.left or now - self.heard > _GONE_AFTER_S
+            self.left = self.left or now - self.last_seen > _GONE_AFTER_S
         return self.left
 
 
-class HostBeliefs:
+class HostTable:
     """All hosts that an entry has received a status of."""
 
     __slots__ = ('_by_ip', '_by_service')
 
     def __init__(self) -> None:
         """Create an empty table."""
-        self._by_ip: dict[str, HostBelief] = {}
-        self._by_service: dict[int, list[HostBelief]] = {}
+        self._by_ip: dict[str, TrackedHost] = {}
+        self._by_service: dict[int, list[TrackedHost]] = {}
 
     def __len__(self) -> int:
         """Return the number of hosts."""
         return len(self._by_ip)
 
-    def all(self) -> list[HostBelief]:
+    def all(self) -> list[TrackedHost]:
         """Return all hosts."""
         return list(self._by_ip.values())
 
-    def get(self, ip: str) -> HostBelief | None:
+    def get(self, ip: str) -> TrackedHost | None:
         """Return the host at an address."""
         return self._by_ip.get(ip)
 
-    def of_service(self, service: int) -> list[HostBelief]:
+    def of_service(self, service: int) -> list[TrackedHost]:
         """Return the hosts of a service, given by its digest."""
         return self._by_service.get(service, [])
 
-    def hear(self, ip: str, status: Status, now: float) -> bool:
+    def update_status(self, ip: str, status: Status, now: float) -> bool:
         """Apply a status update; return whether the host has changed."""
         host = self._by_ip.get(ip)
         if host is None:
-            self._by_ip[ip] = HostBelief(ip, status, now)
+            self._by_ip[ip] = TrackedHost(ip, status, now)
             self._index()
             return True
         previous = host.status
-        changed = previous.state != status.state or now - host.heard > SILENT_S
-        pause = min(now - host.heard, _MAX_INTERVAL_S)
-        host.pause_s = max(pause, host.pause_s * _INTERVAL_DECAY)
+        changed = (
+            previous.state != status.state or now - host.last_seen > SILENT_S
+        )
+        pause = min(now - host.last_seen, _MAX_INTERVAL_S)
+        host.usual_interval_s = max(
+            pause, host.usual_interval_s * _INTERVAL_DECAY
+        )
         host.status = status
-        host.heard = now
+        host.last_seen = now
         host.pending = 0
         host.left = False
         if previous.service != status.service:
@@ -114,17 +118,17 @@
             return True
         return changed
 
-    def excuse(self, stalled_s: float) -> None:
+    def add_stall(self, stalled_s: float) -> None:
         """Add the time of a stall, in which no packets could be received."""
         for host in self._by_ip.values():
-            host.heard += stalled_s
+            host.last_seen += stalled_s
 
     def sweep(self, now: float) -> None:
         """Remove hosts without an update for a long time."""
         gone = [
             ip
             for ip, host in self._by_ip.items()
-            if now - host.heard > _EXPIRY_S
+            if now - host.last_seen > _EXPIRY_S
         ]
         for ip in gone:
             self._by_ip.pop(ip)
@@ -136,7 +140,7 @@
         return [
             host.packed
             for host in self._by_ip.values()
-            if now - host.heard < SILENT_S
+            if now - host.last_seen < SILENT_S
         ]
 
     def _index(self) -> None:
--- a/siskinbank/beliefs/own_host.py
+++ b/siskinbank/beliefs/own_host.py
@@ -53,17 +53,17 @@
         '_record_wait_until',
         '_started_ms',
         '_unreachable_at',
-        'arriving',
+        'expected_requests',
         'busy',
         'confirmed',
         'has_accepted_flow',
         'record',
-        'refusing',
-        'room',
+        'refusal_backoff',
+        'queue_capacity',
         'service',
         'stopping',
         'version',
-        'work',
+        'processing_time',
     )
 
     def __init__(self, service: int, now: float, started_ms: int) -> None:
@@ -81,10 +81,10 @@
         self.version = 0
         self.stopping = False
         self.busy = 0
-        self.work = ProcessingTime()
-        self.arriving = ExpectedRequests()
-        self.room = QueueCapacity()
-        self.refusing = RefusalBackoff()
+        self.processing_time = ProcessingTime()
+        self.expected_requests = ExpectedRequests()
+        self.queue_capacity = QueueCapacity()
+        self.refusal_backoff = RefusalBackoff()
         self.has_accepted_flow = False
         self._cold = ColdLimit()
         self._cold_until = NEVER
@@ -125,20 +125,20 @@
             return self.has_accepted_flow
         return not self.expects_record(now)
 
-    def expected(self, now: float) -> int:
+    def request_count(self, now: float) -> int:
         """Return the number of requests in progress and expected."""
-        return self.busy + self.arriving.count(now)
+        return self.busy + self.expected_requests.count(now)
 
-    def may_prove_itself(self, now: float) -> bool:
+    def may_accept_trial_flow(self, now: float) -> bool:
         """Return whether a host without a record may accept one flow."""
-        return self.record is None and not self.expected(now)
+        return self.record is None and not self.request_count(now)
 
     def note_opened(self) -> None:
         """Note that the host accepted a flow."""
         self.has_accepted_flow = True
-        self.refusing.note_accepted()
+        self.refusal_backoff.note_accepted()
 
-    def seen_whole(self, now: float) -> bool:
+    def knows_all_flows(self, now: float) -> bool:
         """Return whether the sidecar has seen all flows of the host.
 
         It has if it has observed the host for longer than flows may be idle,
@@ -149,11 +149,11 @@
         started_together = born_ms > self._started_ms - _JOINT_START_MS
         return started_together or now - self._observed_since > _OBSERVED_S
 
-    def doubt(self, now: float) -> None:
+    def expect_record(self, now: float) -> None:
         """Wait for a new record after a stall."""
         self._record_wait_until = now + _RECORD_WAIT_S
 
-    def believe(self, record: messages.Record, now: float) -> bool:
+    def apply_record(self, record: messages.Record, now: float) -> bool:
         """Apply a record unless it is older; return whether it was applied.
 
         The hosts' entries and the operator's keys have separate revisions: a
@@ -174,14 +174,14 @@
         if previous and record.born_ms not in {0, previous.born_ms}:
             self._unreachable_at = NEVER
             self._observed_since = now
-            self.refusing.note_accepted()
+            self.refusal_backoff.note_accepted()
         self.record = record
         self.confirmed = now - record.age_s
         self._cold_until = now + record.cold_s if record.cold_s else NEVER
         self._record_wait_until = NEVER
         return True
 
-    def lose(self, now: float) -> bool:
+    def note_unreachable(self, now: float) -> bool:
         """Note that the host is unreachable; return whether that is new."""
         newly_unreachable = now - self._unreachable_at > _UNREACHABLE_S
         self._unreachable_at = now
@@ -194,8 +194,10 @@
 
     def is_full(self, now: float) -> bool:
         """Return whether the host would shed another request."""
-        expected = self.expected(now)
-        return expected >= self.slots and self.room.is_full(expected, now)
+        request_count = self.request_count(now)
+        return request_count >= self.slots and self.queue_capacity.is_full(
+            request_count, now
+        )
 
     def wait_s(self, now: float, ahead: int = 0) -> float:
         """Return how long a new request would wait for a slot, in seconds.
@@ -204,9 +206,11 @@
             now: time in seconds on the clock that counts suspension.
             ahead: queued flows that get a slot before it.
         """
-        return self.work.wait_s(self.expected(now) + ahead, self.slots)
+        return self.processing_time.wait_s(
+            self.request_count(now) + ahead, self.slots
+        )
 
-    def reason_against(self, service: int, now: float) -> int:
+    def refusal_reason(self, service: int, now: float) -> int:
         """Return why the host accepts no flow at this moment, or NONE.
 
         Queued requests are no such reason; see ``wait_s``.
@@ -230,10 +234,10 @@
             return None
         return self._cold.spare(now, record.cold_per_s)
 
-    def note_taken(self, key: bytes, now: float) -> None:
+    def note_admitted(self, key: bytes, now: float) -> None:
         """Count a flow against the cold limit, and expect its request."""
         self._cold.note(now)
-        self.arriving.add(key, now)
+        self.expected_requests.add(key, now)
 
     def _persistent_reason(self, service: int, now: float) -> int:
         if service != self.service:
@@ -246,7 +250,7 @@
             return reasons.STOPPING
         if now - self._unreachable_at < _UNREACHABLE_S:
             return reasons.UNREACHABLE
-        if self.refusing.is_paused(now):
+        if self.refusal_backoff.is_paused(now):
             return reasons.REFUSING
         return reasons.NONE
 
--- a/siskinbank/choice/homes.py
+++ b/siskinbank/choice/homes.py
@@ -10,12 +10,12 @@
 from siskinbank.config.site import Host, Service
 from siskinbank.directory.view import FleetView
 
-__all__ = ('KeyHomes', 'home_hosts', 'home_rank')
+__all__ = ('PrimaryHosts', 'primary_candidates', 'primary_rank')
 
 _METHOD = 'rendezvous'
 
 
-def home_hosts(view: FleetView, service: Service) -> tuple[Host, ...]:
+def primary_candidates(view: FleetView, service: Service) -> tuple[Host, ...]:
     """Return the hosts that can be the primary host of a key."""
     site = view.site
     if site is None:
@@ -28,12 +28,12 @@
     )
 
 
-def home_rank(hosts: Sequence[Host]) -> Rank:
+def primary_rank(hosts: Sequence[Host]) -> Rank:
     """Return the ranking whose first host is a key's primary host."""
     return choices.find(_METHOD).prepare(hosts, 1)
 
 
-class KeyHomes:
+class PrimaryHosts:
     """Primary hosts of the keys of all services, by the current view."""
 
     def __init__(self, view: FleetView) -> None:
@@ -46,7 +46,7 @@
         """Return the primary host of the key with this 64-bit digest."""
         rank = self._ranks.get(service.ident)
         if rank is None:
-            rank = home_rank(home_hosts(self._view, service))
+            rank = primary_rank(primary_candidates(self._view, service))
             self._ranks[service.ident] = rank
         ranked = rank(digest)
         return ranked[0] if ranked else None
--- a/siskinbank/choice/placement.py
+++ b/siskinbank/choice/placement.py
@@ -10,9 +10,9 @@
 
 from __future__ import annotations
 
-from siskinbank.beliefs.hosts import SILENT_S, HostBelief
+from siskinbank.beliefs.hosts import SILENT_S, TrackedHost
 
-__all__ = ('MAX_CANDIDATES', 'candidates', 'order')
+__all__ = ('MAX_CANDIDATES', 'candidates', 'rank_hosts')
 
 # Candidates named with a first packet: with every second host busy, one in
 # thirty such flows still meets only busy ones.
@@ -35,12 +35,12 @@
 _SPREAD_STEPS = 256
 
 
-def order(
-    hosts: list[HostBelief],
+def rank_hosts(
+    hosts: list[TrackedHost],
     flow_hash: int,
     data_centre: int,
     now: float,
-) -> list[HostBelief]:
+) -> list[TrackedHost]:
     """Return the candidates for a new flow, the best first.
 
     Args:
@@ -50,7 +50,7 @@
         now: time in seconds on the clock that counts suspension.
     """
     accepting = [host for host in hosts if not host.status.state]
-    responsive = [host for host in accepting if now - host.heard < SILENT_S]
+    responsive = [host for host in accepting if now - host.last_seen < SILENT_S]
     scored = [
         (_score(host, flow_hash, data_centre), index)
         for index, host in enumerate(responsive)
@@ -77,11 +77,11 @@
 
 
 def candidates(
-    hosts: list[HostBelief],
-    ordered: list[HostBelief],
+    hosts: list[TrackedHost],
+    ordered: list[TrackedHost],
     tried: tuple[str, ...],
     queued_at: str,
-) -> list[HostBelief]:
+) -> list[TrackedHost]:
     """Return the candidates for a copy of a first packet, the best first.
 
     Load pattern: all hosts are busy, and a flow is queued at one of them in
@@ -101,7 +101,7 @@
     return queueing + others
 
 
-def _score(host: HostBelief, flow_hash: int, data_centre: int) -> float:
+def _score(host: TrackedHost, flow_hash: int, data_centre: int) -> float:
     status = host.status
     load = status.busy + host.pending + status.flows * _FLOW_WEIGHT
     spread = (flow_hash ^ host.packed[3] * 0x9D) % _SPREAD_STEPS / _SPREAD_STEPS
--- a/siskinbank/entry/context.py
+++ b/siskinbank/entry/context.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from siskinbank.choice.homes import KeyHomes
+from siskinbank.choice.homes import PrimaryHosts
 from siskinbank.choice.router import Router
 from siskinbank.entry.links import RequestLinks
 from siskinbank.kernel.process import ProcessContext
@@ -23,4 +23,4 @@
     router: Router
     peers: PeerSocket
     links: RequestLinks
-    primary_hosts: KeyHomes
+    primary_hosts: PrimaryHosts
--- a/siskinbank/entry/daemon.py
+++ b/siskinbank/entry/daemon.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from siskinbank.choice.homes import KeyHomes
+from siskinbank.choice.homes import PrimaryHosts
 from siskinbank.choice.router import Router
 from siskinbank.entry.context import EntryContext
 from siskinbank.entry.links import RequestLinks
@@ -33,7 +33,7 @@
         Router(node.view),
         node.peers,
         RequestLinks(process, PeerStreams(process, settings.keys)),
-        KeyHomes(node.view),
+        PrimaryHosts(node.view),
     )
     opener = _IngressOpener(context)
     node.view.subscribe(opener.schedule_update)
--- a/siskinbank/lab/pool.py
+++ b/siskinbank/lab/pool.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from siskinbank.choice.homes import KeyHomes
+from siskinbank.choice.homes import PrimaryHosts
 from siskinbank.choice.router import Router
 from siskinbank.config.site import Address, Site
 from siskinbank.entry.context import EntryContext
@@ -110,7 +110,7 @@
             Router(view),
             peers,
             RequestLinks(process, PeerStreams(process, self._keys)),
-            KeyHomes(view),
+            PrimaryHosts(view),
         )
         entry = PoolEntry(process, view, PacketIngress(context))
         self.entries[name] = entry
--- a/siskinbank/lab/request_rig.py
+++ b/siskinbank/lab/request_rig.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from siskinbank.choice.homes import KeyHomes
+from siskinbank.choice.homes import PrimaryHosts
 from siskinbank.choice.router import Router
 from siskinbank.config.models import DocumentModel
 from siskinbank.config.sections import Manifest, make_site
@@ -269,7 +269,7 @@
             Router(view),
             PeerSocket(_KEYS, process.metrics),
             RequestLinks(process, PlainStreams(process, _KEYS)),
-            KeyHomes(view),
+            PrimaryHosts(view),
         )
         handle = await start_http(context, '0.0.0.0', self.port)
         url = f'http://{address}:{self.port}'
--- a/siskinbank/platform/records.py
+++ b/siskinbank/platform/records.py
@@ -90,19 +90,19 @@
             client.
     """
 
-    __slots__ = ('aim_s', 'limit_s', 'repeatable', 'shares')
+    __slots__ = ('target_latency_s', 'limit_s', 'repeatable', 'shares')
 
     def __init__(
         self,
         shares: tuple[tuple[str, float], ...],
         repeatable: bool,
-        aim_s: float,
+        target_latency_s: float,
         limit_s: float,
     ) -> None:
         """Create a route."""
         self.shares = shares
         self.repeatable = repeatable
-        self.aim_s = aim_s
+        self.target_latency_s = target_latency_s
         self.limit_s = limit_s
 
     def service_for(self, draw: int) -> str:
--- a/siskinbank/relay/entry.py
+++ b/siskinbank/relay/entry.py
@@ -7,12 +7,12 @@
 
 from siskinbank.admission import reasons
 from siskinbank.admission.arrivals import (
-    longest_wait_s,
-    nobody_is_final,
+    max_wait_s,
+    no_host_is_final,
     refusal_is_final,
 )
-from siskinbank.beliefs.hosts import HostBelief, HostBeliefs
-from siskinbank.choice.placement import candidates, order
+from siskinbank.beliefs.hosts import TrackedHost, HostTable
+from siskinbank.choice.placement import candidates, rank_hosts
 from siskinbank.entry.flow_cache import CachedFlow, FlowCache
 from siskinbank.platform.packets import (
     FLOW_KEY,
@@ -79,7 +79,7 @@
         self._flows = FlowCache()
         self._early_packets: list[tuple[float, bytes]] = []
         self._discovery_done = False
-        self._hosts = HostBeliefs()
+        self._hosts = HostTable()
         self._follower = StoreFollower(
             node, self._on_hosts_read, self._on_operator_read
         )
@@ -105,7 +105,7 @@
         node.loop.watch(self._clients.fileno(), self._read_clients)
         node.loop.every(_SWEEP_INTERVAL_S, self._sweep)
         node.loop.every(_DISCOVERY_WAIT_S, self._process_early_packets)
-        node.loop.on_stall(self._hosts.excuse)
+        node.loop.on_stall(self._hosts.add_stall)
         self._follower.check()
 
     # Packets from clients.
@@ -169,7 +169,7 @@
         flow_hash = crc32(key)
         service = route.service_for(flow_hash)
         hosts = self._hosts.of_service(messages.digest(service))
-        ordered = order(
+        ordered = rank_hosts(
             hosts,
             flow_hash,
             self._data_centre,
@@ -192,7 +192,7 @@
             'flow.placed',
             flow=describe(key),
             host=first.ip,
-            age_ms=int((now - first.heard) * 1000),
+            age_ms=int((now - first.last_seen) * 1000),
             busy=first.status.busy,
             candidates=len(chosen),
             version=self._follower.configuration.version,
@@ -201,15 +201,15 @@
         opening = messages.Opening(self._node.packed_ip, packet)
         opening.service = messages.digest(service)
         opening.version = self._follower.configuration.version
-        opening.aim_ms = messages.wait_ms(route.aim_s)
-        opening.limit_ms = messages.wait_ms(longest_wait_s(route.limit_s))
+        opening.aim_ms = messages.wait_ms(route.target_latency_s)
+        opening.limit_ms = messages.wait_ms(max_wait_s(route.limit_s))
         opening.candidates = [host.packed for host in chosen]
         self._node.send(opening.pop_next(), opening.pack())
 
     def _refuse_unplaced(
         self,
         packet: bytes,
-        hosts: list[HostBelief],
+        hosts: list[TrackedHost],
     ) -> None:
         """Refuse a first packet that no host accepts.
 
@@ -221,7 +221,7 @@
             return
         states = [host.status.state for host in hosts]
         copy = sequence_numbers(packet)[1]
-        if nobody_is_final(states, copy):
+        if no_host_is_final(states, copy):
             self._reset(packet, 'no-host')
             return
         self._node.log(
@@ -243,7 +243,7 @@
         if self._discovery_done:
             return True
         now = self._node.loop.now
-        first_status_at = min(host.heard_first for host in self._hosts.all())
+        first_status_at = min(host.first_seen for host in self._hosts.all())
         registered = self._follower.hosts
         known = bool(registered) and all(map(self._hosts.get, registered))
         self._discovery_done = (
@@ -324,9 +324,9 @@
             tries=tries,
         )
         host = self._hosts.get(ip)
-        if host and reason not in reasons.PASSING:
+        if host and reason not in reasons.TRANSIENT:
             host.status.state = reason
-        if tries < _MAX_PLACEMENTS and reason in reasons.LOCAL:
+        if tries < _MAX_PLACEMENTS and reason in reasons.HOST_SPECIFIC:
             self._open_flow(packet)
         elif refusal_is_final(reason, sequence_numbers(packet)[1]):
             self._reset(packet, name)
@@ -334,7 +334,7 @@
     def _handle_status(self, raw: bytes, ip: str) -> None:
         status = messages.Status.read(raw)
         self._gossip.sidecars.add(inet_aton(ip))
-        if self._hosts.hear(ip, status, self._node.loop.now):
+        if self._hosts.update_status(ip, status, self._node.loop.now):
             self._node.log(
                 'host.changed',
                 host=ip,
--- a/siskinbank/relay/follower.py
+++ b/siskinbank/relay/follower.py
@@ -3,7 +3,10 @@
 from __future__ import annotations
 
 from siskinbank.beliefs.configuration import Configuration
-from siskinbank.beliefs.freshness import StoreReturn, pause_after_failures_s
+from siskinbank.beliefs.freshness import (
+    StoreAvailability,
+    pause_after_failures_s,
+)
 from siskinbank.platform.documents import Unreadable
 from siskinbank.platform.records import HostRecord, decode_host
 from siskinbank.platform.store import (
@@ -110,7 +113,7 @@
         self._operator_connection = _StoreConnection(Client(node.loop, store))
         self._has_operator_listing = False
         self._listed_changes: list[Change] = []
-        self._store_return = StoreReturn()
+        self._store_return = StoreAvailability()
         node.loop.every(_CHECK_INTERVAL_S, self.check)
 
     def check(self) -> None:
@@ -124,9 +127,9 @@
         ):
             self._follow_operator()
 
-    def trusts_absence(self) -> bool:
+    def absence_is_reliable(self) -> bool:
         """Return whether a host without a record in the store is gone."""
-        return self._store_return.trusts_absence(self._node.loop.now)
+        return self._store_return.absence_is_reliable(self._node.loop.now)
 
     def adopt_configuration(self, raw: bytes, source: str) -> bool:
         """Adopt a configuration if it is newer; return whether it was."""
--- a/siskinbank/relay/gossip.py
+++ b/siskinbank/relay/gossip.py
@@ -5,9 +5,9 @@
 from _socket import inet_aton, inet_ntoa
 
 from siskinbank.beliefs.freshness import (
-    hosts_patience_s,
-    operator_patience_s,
-    rank_of,
+    hosts_read_age_s,
+    operator_read_age_s,
+    reader_rank,
 )
 from siskinbank.relay import messages
 from siskinbank.relay.greetings import HELLO_CHECK_INTERVAL_S, HelloSchedule
@@ -16,7 +16,7 @@
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
-    from siskinbank.beliefs.hosts import HostBeliefs
+    from siskinbank.beliefs.hosts import HostTable
     from siskinbank.relay.follower import StoreFollower
     from siskinbank.relay.handover import ConfigurationTransfer
     from siskinbank.relay.node import Node
@@ -54,7 +54,7 @@
     def __init__(
         self,
         node: Node,
-        hosts: HostBeliefs,
+        hosts: HostTable,
         follower: StoreFollower,
         configuration_transfer: ConfigurationTransfer,
     ) -> None:
@@ -91,7 +91,7 @@
             for packed in self._live_entries()
             if packed not in self._stopping
         ]
-        self._follower.rank = rank_of(self._node.packed_ip, readers)
+        self._follower.rank = reader_rank(self._node.packed_ip, readers)
 
     def announce_change(self) -> None:
         """Announce the configuration at once if its version has changed.
@@ -131,9 +131,9 @@
         last_confirmed = follower.hosts_seen
         if not follower.hosts_revision:
             return True
-        max_age_s = hosts_patience_s(follower.rank)
+        max_age_s = hosts_read_age_s(follower.rank)
         if self._hosts_read_requested:
-            max_age_s = hosts_patience_s(0)
+            max_age_s = hosts_read_age_s(0)
         else:
             last_confirmed = max(last_confirmed, follower.hosts_seen_by_peer)
         due = self._node.loop.now - last_confirmed > max_age_s
@@ -149,7 +149,7 @@
             follower.operator_seen, self._operator_seen_by_peer
         )
         age = self._node.loop.now - last_confirmed
-        return age >= operator_patience_s(follower.rank)
+        return age >= operator_read_age_s(follower.rank)
 
     def _send_hellos_when_due(self) -> None:
         if self._hello_schedule.is_due(self._node.loop.now):
@@ -168,7 +168,7 @@
         for packed in list(self.sidecars)[:_MAX_ADDRESSES]:
             ip = inet_ntoa(packed)
             host = self._hosts.get(ip)
-            if host is None or now - host.heard > _HELLO_INTERVAL_S:
+            if host is None or now - host.last_seen > _HELLO_INTERVAL_S:
                 self._node.send(ip, _HELLO)
 
     def _receive_hello(self, raw: bytes, ip: str) -> None:
--- a/siskinbank/relay/openings.py
+++ b/siskinbank/relay/openings.py
@@ -5,10 +5,10 @@
 from _socket import inet_ntoa
 
 from siskinbank.admission import reasons
-from siskinbank.admission.arrivals import where_to_wait
+from siskinbank.admission.arrivals import queueing_decision
 from siskinbank.admission.waiting_room import (
-    KeptOpening,
-    WaitingRoom,
+    QueuedOpening,
+    PendingQueue,
     sent_ago_s,
 )
 from siskinbank.platform.packets import (
@@ -78,7 +78,7 @@
             waiting: Packets that the host has not answered, by flow key.
             deliver: Called to send a packet to the host.
         """
-        self.queue = WaitingRoom()
+        self.queue = PendingQueue()
         self._check_scheduled = False
         self._node = node
         self._host = host
@@ -92,8 +92,8 @@
         self, key: bytes, waiting: PendingPacket | None
     ) -> None:
         """Handle a first packet that the host has refused."""
-        self._host.arriving.end(key)
-        if self._host.refusing.note_refusal(self._node.loop.now):
+        self._host.expected_requests.end(key)
+        if self._host.refusal_backoff.note_refusal(self._node.loop.now):
             self._node.log('host.refusing', flows=len(self._flows))
             self._reporter.send_status()
         if waiting and waiting.opening:
@@ -102,7 +102,7 @@
     def count_in_time(self) -> int:
         """Return the number of queued flows that precede a new one."""
         now = self._node.loop.now
-        return self.queue.count_in_time(now, self._host.work.seconds)
+        return self.queue.count_in_time(now, self._host.processing_time.seconds)
 
     def release(self) -> None:
         """Send queued flows to the host while it has free slots."""
@@ -110,7 +110,7 @@
             return
         now = self._node.loop.now
         host = self._host
-        reason = host.reason_against(host.service, now)
+        reason = host.refusal_reason(host.service, now)
         if reason == reasons.COLD:
             return
         if reason:
@@ -119,7 +119,7 @@
             return
         while host.spare(now) != 0:
             found = self.queue.next(
-                now, host.work.seconds, self._free_slots(now)
+                now, host.processing_time.seconds, self._free_slots(now)
             )
             if found is None:
                 return
@@ -144,7 +144,7 @@
             queued.opening = opening
             return
         now = self._node.loop.now
-        reason = self._host.reason_against(opening.service, now)
+        reason = self._host.refusal_reason(opening.service, now)
         if reason:
             self._forward(key, opening, reason)
         else:
@@ -154,16 +154,18 @@
         now = self._node.loop.now
         host = self._host
         has_candidates = bool(opening.candidates) and opening.hops < _MAX_HOPS
-        unknown = not host.is_trusted(now) and not host.may_prove_itself(now)
+        unknown = not host.is_trusted(now) and not host.may_accept_trial_flow(
+            now
+        )
         if has_candidates and unknown:
             self._forward(key, opening, reasons.BUSY)
             return
         copy = sequence_numbers(opening.packet)[1]
         sent = now - sent_ago_s(copy)
-        queued = KeptOpening(opening, now, sent, opening.aim_ms / _MS)
+        queued = QueuedOpening(opening, now, sent, opening.aim_ms / _MS)
         wait = self._wait_s(queued)
         best = opening.best_wait_s
-        decision = where_to_wait(
+        decision = queueing_decision(
             wait, opening.limit_ms / _MS, best, has_candidates
         )
         if decision == 'here':
@@ -179,17 +181,17 @@
         reason = reasons.BUSY if opening.exceeds_limit else reasons.FULL
         self._forward(key, opening, reason)
 
-    def _wait_s(self, queued: KeptOpening) -> float | None:
+    def _wait_s(self, queued: QueuedOpening) -> float | None:
         """Return the wait here in seconds, or None if the queue is full."""
         if self.queue.full:
             return None
         now = self._node.loop.now
         host = self._host
-        ahead = self.queue.ahead_of(queued, now, host.work.seconds)
+        ahead = self.queue.ahead_of(queued, now, host.processing_time.seconds)
         return host.wait_s(now, ahead)
 
-    def _queue_opening(self, key: bytes, queued: KeptOpening) -> None:
-        self.queue.keep(key, queued)
+    def _queue_opening(self, key: bytes, queued: QueuedOpening) -> None:
+        self.queue.enqueue(key, queued)
         self.release()
         if not self.queue.get(key):
             return
@@ -212,7 +214,7 @@
         host = self._host
         if host.is_full(now):
             return _NO_FREE_SLOTS
-        return host.slots - host.expected(now)
+        return host.slots - host.request_count(now)
 
     def _schedule_check(self) -> None:
         if not self._check_scheduled:
@@ -223,23 +225,23 @@
         """Drop flows that clients have abandoned and admit queued ones."""
         self._check_scheduled = False
         now = self._node.loop.now
-        for key, queued in self.queue.drop_given_up(now):
+        for key, queued in self.queue.remove_abandoned(now):
             self._node.meters.count('flows_given_up_total')
             self._node.log(
                 'flow.refused',
                 flow=describe(key),
                 reason='client-gave-up',
-                kept_ms=int((now - queued.since) * _MS),
+                kept_ms=int((now - queued.queued_at) * _MS),
             )
         self.release()
         if self.queue:
             self._schedule_check()
 
-    def _admit(self, key: bytes, queued: KeptOpening) -> None:
+    def _admit(self, key: bytes, queued: QueuedOpening) -> None:
         now = self._node.loop.now
         opening = queued.opening
         host = self._host
-        host.note_taken(key, now)
+        host.note_admitted(key, now)
         waiting = PendingPacket(inet_ntoa(opening.entry), now, opening.packet)
         waiting.opening = opening
         self._waiting[key] = waiting
@@ -247,7 +249,7 @@
             'flow.taken',
             flow=describe(key),
             busy=host.busy,
-            kept_ms=int((now - queued.since) * _MS),
+            kept_ms=int((now - queued.queued_at) * _MS),
             kept=len(self.queue),
             flows=len(self._flows),
             hops=opening.hops,
--- a/siskinbank/relay/records.py
+++ b/siskinbank/relay/records.py
@@ -23,7 +23,7 @@
         yet show that it is gone.
     """
     host = follower.hosts.get(ip)
-    if host is None and not follower.trusts_absence():
+    if host is None and not follower.absence_is_reliable():
         return None
     record = messages.Record()
     record.revision = follower.hosts_revision
--- a/siskinbank/relay/reports.py
+++ b/siskinbank/relay/reports.py
@@ -129,8 +129,8 @@
         status = messages.Status(host.service, self._data_centre)
         status.state = host.state(now)
         status.slots = host.slots
-        expected = host.expected(now) + self._count_queued()
-        status.busy = min(expected, _MAX_COUNT)
+        request_count = host.request_count(now) + self._count_queued()
+        status.busy = min(request_count, _MAX_COUNT)
         status.flows = min(self._count_flows(), _MAX_COUNT)
         status.version = host.version
         status.trusted = host.is_trusted(now)
--- a/siskinbank/relay/request_watch.py
+++ b/siskinbank/relay/request_watch.py
@@ -50,9 +50,11 @@
             return
         host = self._host
         if before is None:
-            request.waited = host.work.wait_s(host.busy, host.slots) > 0
+            request.waited = (
+                host.processing_time.wait_s(host.busy, host.slots) > 0
+            )
             host.busy += 1
-            host.arriving.note_request(key, self._node.loop.now)
+            host.expected_requests.note_request(key, self._node.loop.now)
         self._node.meters.count('requests_total')
         self._node.log(
             'request.start',
@@ -73,7 +75,7 @@
                 self._schedule_end(key, flow, flow.request)
             return
         if not answer.executed:
-            self._host.room.note_shed(self._host.busy - 1, now)
+            self._host.queue_capacity.note_shed(self._host.busy - 1, now)
             self._node.meters.count('requests_shed_total')
         self.end(key, flow, answer.status)
 
@@ -87,7 +89,7 @@
         host.busy -= 1
         duration = self._node.loop.now - request.began
         if not request.waited and outcome.isdigit():
-            host.work.note(duration)
+            host.processing_time.note(duration)
         self._node.meters.count('requests_ended_total')
         self._node.meters.time('request_seconds', duration)
         self._node.log(
--- a/siskinbank/relay/seeker.py
+++ b/siskinbank/relay/seeker.py
@@ -24,7 +24,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from siskinbank.beliefs.hosts import HostBelief, HostBeliefs
+    from siskinbank.beliefs.hosts import TrackedHost, HostTable
     from siskinbank.platform.records import Route
     from siskinbank.relay.follower import StoreFollower
     from siskinbank.relay.gossip import Gossip
@@ -74,7 +74,7 @@
     def __init__(
         self,
         node: Node,
-        hosts: HostBeliefs,
+        hosts: HostTable,
         follower: StoreFollower,
         gossip: Gossip,
         reset: Callable[[bytes, str], None],
@@ -151,7 +151,7 @@
         """Return whether a host is silent and has no entry in the store."""
         host = self._hosts.get(ip)
         now = self._node.loop.now
-        if host is None or now - host.heard < _SUSPECT_AFTER_S:
+        if host is None or now - host.last_seen < _SUSPECT_AFTER_S:
             return False
         if not host.has_left(now):
             host.left = self._is_unregistered(ip)
@@ -160,7 +160,7 @@
     def is_lost(self, key: bytes, ip: str) -> bool:
         """Return whether a flow is lost because its host is gone."""
         host = self._hosts.get(ip)
-        if host and self._node.loop.now - host.heard < _SUSPECT_AFTER_S:
+        if host and self._node.loop.now - host.last_seen < _SUSPECT_AFTER_S:
             # The common case, taken for nearly every packet.
             return False
         if self.has_left(ip):
@@ -180,14 +180,14 @@
             # reader.
             self._gossip.request_hosts_read()
             return False
-        return ip not in follower.hosts and follower.trusts_absence()
+        return ip not in follower.hosts and follower.absence_is_reliable()
 
     def _queue_query(
-        self, key: bytes, search: FlowSearch, hosts: list[HostBelief]
+        self, key: bytes, search: FlowSearch, hosts: list[TrackedHost]
     ) -> None:
         """Add a flow to the pending queries of its hosts."""
-        heard = {host.ip: host.heard for host in hosts}
-        for ip in search.hosts_to_ask(heard, self._node.loop.now):
+        last_seen = {host.ip: host.last_seen for host in hosts}
+        for ip in search.hosts_to_ask(last_seen, self._node.loop.now):
             self._queries.setdefault(ip, []).append(key)
 
     def _schedule_round(self) -> None:
@@ -252,7 +252,7 @@
 
     def _continue_searches(self) -> None:
         now = self._node.loop.now
-        hosts_by_route: dict[Route | None, list[HostBelief]] = {None: []}
+        hosts_by_route: dict[Route | None, list[TrackedHost]] = {None: []}
         for key, search in self._searches.ongoing(now):
             route = self._route(key)
             if route not in hosts_by_route:
@@ -277,7 +277,7 @@
         self,
         key: bytes,
         search: FlowSearch,
-        hosts: list[HostBelief],
+        hosts: list[TrackedHost],
         route: Route | None,
     ) -> bool:
         """End a search and reset the flow if no host can hold it."""
@@ -290,7 +290,7 @@
     def _are_missing_hosts_gone(
         self,
         search: FlowSearch,
-        hosts: list[HostBelief],
+        hosts: list[TrackedHost],
         route: Route,
     ) -> bool:
         """Return whether all hosts that have not answered are gone."""
@@ -309,10 +309,10 @@
 
     def _may_answer(self, ip: str, route: Route) -> bool:
         host = self._hosts.get(ip)
-        heard = host.heard if host else self._started
-        silent_s = self._node.loop.now - heard
-        pause_s = host.pause_s if host else 0
-        return may_still_answer(silent_s, route.repeatable, pause_s)
+        last_seen = host.last_seen if host else self._started
+        silent_s = self._node.loop.now - last_seen
+        usual_interval_s = host.usual_interval_s if host else 0
+        return may_still_answer(silent_s, route.repeatable, usual_interval_s)
 
     def _is_isolated(self, route: Route) -> bool:
         """Return whether this process is isolated.
@@ -321,16 +321,16 @@
         """
         cutoff = self._node.loop.now - SILENT_S
         hosts = self._hosts_of(route)
-        silent = sum(1 for host in hosts if host.heard < cutoff)
+        silent = sum(1 for host in hosts if host.last_seen < cutoff)
         unknown = len(self._never_seen(route))
         return (silent + unknown) * 2 > len(hosts) + unknown
 
     def _route(self, key: bytes) -> Route | None:
         return self._follower.configuration.routes.get(route_key(key))
 
-    def _hosts_of(self, route: Route) -> list[HostBelief]:
+    def _hosts_of(self, route: Route) -> list[TrackedHost]:
         """Return the hosts that may hold flows of a route."""
-        hosts: list[HostBelief] = []
+        hosts: list[TrackedHost] = []
         for service, _ in route.shares:
             hosts.extend(self._hosts.of_service(messages.digest(service)))
         return [host for host in hosts if not self.has_left(host.ip)]
@@ -345,5 +345,5 @@
         ]
 
 
-def _addresses(hosts: list[HostBelief]) -> list[str]:
+def _addresses(hosts: list[TrackedHost]) -> list[str]:
     return [host.ip for host in hosts]
--- a/siskinbank/relay/sidecar.py
+++ b/siskinbank/relay/sidecar.py
@@ -5,7 +5,7 @@
 from _socket import inet_ntoa
 from time import time
 
-from siskinbank.beliefs.freshness import sidecar_reads
+from siskinbank.beliefs.freshness import sidecar_should_read
 from siskinbank.beliefs.own_host import OwnHost
 from siskinbank.platform.packets import (
     BOUNCED,
@@ -242,7 +242,7 @@
             else:
                 unknown.append(key)
         if unknown:
-            whole = self._host.seen_whole(self._node.loop.now)
+            whole = self._host.knows_all_flows(self._node.loop.now)
             kind = messages.NOT_HELD if whole else messages.HELD_UNKNOWN
             self._node.send(ip, messages.pack_keys(kind, unknown))
 
@@ -289,7 +289,7 @@
     def _handle_host_unreachable(self) -> None:
         """Drop all flows: nothing listens on the port of the host."""
         self._node.meters.count('host_unreachable_total')
-        if self._host.lose(self._node.loop.now):
+        if self._host.note_unreachable(self._node.loop.now):
             self._node.log('host.unreachable', flows=len(self._flows))
         flows = list(self._flows.items())
         self._flows.clear()
@@ -308,7 +308,7 @@
     def _apply_record(self, record: messages.Record, source: str) -> None:
         host = self._host
         before = host.record
-        if not host.believe(record, self._node.loop.now):
+        if not host.apply_record(record, self._node.loop.now):
             return
         self._follower.hosts_seen_by_peer = host.confirmed
         restarted = before and record.born_ms not in {0, before.born_ms}
@@ -343,7 +343,9 @@
     def _should_read_store(self, seen: float) -> bool:
         """Return whether to read the store, as no entry sent its state."""
         now = self._node.loop.now
-        return sidecar_reads(now, self._started, self._host.confirmed, seen)
+        return sidecar_should_read(
+            now, self._started, self._host.confirmed, seen
+        )
 
     def _on_store_read(self) -> None:
         follower = self._follower
@@ -357,7 +359,7 @@
     # Stalls, shutdown and timeouts.
 
     def _on_stall(self, lost: float) -> None:
-        self._host.doubt(self._node.loop.now)
+        self._host.expect_record(self._node.loop.now)
 
     def _begin_stop(self) -> None:
         self._host.stopping = True
--- a/siskinbank/sidecar/homes.py
+++ b/siskinbank/sidecar/homes.py
@@ -1,6 +1,6 @@
 """Track for how long this host has been the primary host of a key."""
 
-from siskinbank.choice.homes import home_hosts, home_rank
+from siskinbank.choice.homes import primary_candidates, primary_rank
 from siskinbank.choice.registry import Rank
 from siskinbank.config.site import Host
 from siskinbank.sidecar.context import SidecarContext
@@ -92,9 +92,9 @@
         service = self._context.service
         hosts: tuple[Host, ...] = ()
         if service is not None:
-            hosts = home_hosts(self._context.view, service)
+            hosts = primary_candidates(self._context.view, service)
         signature = tuple((host.name, host.weight) for host in hosts)
-        self._replace(home_rank(hosts), signature)
+        self._replace(primary_rank(hosts), signature)
 
     def _replace(self, rank: Rank, signature: tuple[object, ...]) -> None:
         if signature == self._signature:
--- a/siskinbank/sidecar/watch.py
+++ b/siskinbank/sidecar/watch.py
@@ -7,7 +7,7 @@
 
 import aiohttp
 
-from siskinbank.admission.judge import Health, LoadReport, UpstreamJudge
+from siskinbank.admission.judge import Health, LoadReport, HealthMonitor
 from siskinbank.config.site import Address
 from siskinbank.sidecar.context import SidecarContext
 
@@ -42,12 +42,12 @@
 
 def _skip_overlapping(
     context: SidecarContext,
-    work: Callable[[SidecarContext, UpstreamJudge], Awaitable[None]],
+    work: Callable[[SidecarContext, HealthMonitor], Awaitable[None]],
 ) -> Callable[[], None]:
     """Return a function that starts ``work`` unless it is still running."""
     running: set[asyncio.Task[None]] = set()
 
-    async def run(judge: UpstreamJudge) -> None:
+    async def run(judge: HealthMonitor) -> None:
         await work(context, judge)
 
     def start() -> None:
@@ -62,7 +62,7 @@
 
 async def _probe_upstream(
     context: SidecarContext,
-    judge: UpstreamJudge,
+    judge: HealthMonitor,
 ) -> None:
     address = probe_address(context)
     if address is not None:
@@ -71,7 +71,7 @@
 
 async def _fetch_report(
     context: SidecarContext,
-    judge: UpstreamJudge,
+    judge: HealthMonitor,
 ) -> None:
     url = context.settings.upstream_health
     if url is not None:
@@ -89,7 +89,7 @@
     return (base.hostname or '', base.port or 80)
 
 
-async def probe(address: Address, judge: UpstreamJudge) -> None:
+async def probe(address: Address, judge: HealthMonitor) -> None:
     """Open and close one connection and report the result to the judge."""
     loop = asyncio.get_running_loop()
     started = loop.time()
--- a/tests/admission/test_arrivals.py
+++ b/tests/admission/test_arrivals.py
@@ -9,10 +9,10 @@
     ProcessingTime,
     QueueCapacity,
     RefusalBackoff,
-    longest_wait_s,
-    nobody_is_final,
+    max_wait_s,
+    no_host_is_final,
     refusal_is_final,
-    where_to_wait,
+    queueing_decision,
 )
 
 LIMIT_S = 2
@@ -27,7 +27,7 @@
         host = (first + step) % len(busy)
         wait = work.wait_s(busy[host], 2)
         left = step < len(busy) - 1
-        where = where_to_wait(wait, LIMIT_S, best, left)
+        where = queueing_decision(wait, LIMIT_S, best, left)
         if where != 'on':
             return host if where == 'here' else best_host
         if best is None or wait < best:
@@ -40,28 +40,30 @@
 
     def test_a_free_slot_is_taken(self) -> None:
         """Whatever the waits elsewhere."""
-        self.assertEqual(where_to_wait(0, LIMIT_S, 0, True), 'here')
-        self.assertEqual(where_to_wait(0, LIMIT_S, None, False), 'here')
+        self.assertEqual(queueing_decision(0, LIMIT_S, 0, True), 'here')
+        self.assertEqual(queueing_decision(0, LIMIT_S, None, False), 'here')
 
     def test_forwarded_while_others_may_have_room(self) -> None:
         """A short wait here is longer than forwarding takes."""
-        self.assertEqual(where_to_wait(0.01, LIMIT_S, None, True), 'on')
+        self.assertEqual(queueing_decision(0.01, LIMIT_S, None, True), 'on')
 
     def test_last_candidate_uses_the_shortest_wait(self) -> None:
         """Its own wait, or that of an earlier candidate."""
-        self.assertEqual(where_to_wait(0.3, LIMIT_S, 0.1, False), 'back')
-        self.assertEqual(where_to_wait(0.1, LIMIT_S, 0.3, False), 'here')
-        self.assertEqual(where_to_wait(0.1, LIMIT_S, None, False), 'here')
+        self.assertEqual(queueing_decision(0.3, LIMIT_S, 0.1, False), 'back')
+        self.assertEqual(queueing_decision(0.1, LIMIT_S, 0.3, False), 'here')
+        self.assertEqual(queueing_decision(0.1, LIMIT_S, None, False), 'here')
 
     def test_refused_if_it_cannot_be_in_time(self) -> None:
         """Only when the shortest wait is too long."""
-        self.assertEqual(where_to_wait(2.2, LIMIT_S, None, False), 'nowhere')
-        self.assertEqual(where_to_wait(2.2, LIMIT_S, 2.1, False), 'nowhere')
-        self.assertEqual(where_to_wait(2.2, LIMIT_S, 1.9, False), 'back')
+        self.assertEqual(
+            queueing_decision(2.2, LIMIT_S, None, False), 'nowhere'
+        )
+        self.assertEqual(queueing_decision(2.2, LIMIT_S, 2.1, False), 'nowhere')
+        self.assertEqual(queueing_decision(2.2, LIMIT_S, 1.9, False), 'back')
 
     def test_half_of_the_time_limit_is_the_longest_wait(self) -> None:
         """The rest is for processing, the network and a retry elsewhere."""
-        self.assertEqual(longest_wait_s(LIMIT_S), LIMIT_S / 2)
+        self.assertEqual(max_wait_s(LIMIT_S), LIMIT_S / 2)
 
     def test_a_burst_fills_hosts_evenly(self) -> None:
         """Replay: 60 first packets at the same time, 5 hosts of 2 slots."""
@@ -99,9 +101,11 @@
 
     def test_full_hosts(self) -> None:
         """A shorter wait elsewhere, or the client's next retransmission."""
-        self.assertEqual(where_to_wait(None, LIMIT_S, None, True), 'on')
-        self.assertEqual(where_to_wait(None, LIMIT_S, 0.2, False), 'back')
-        self.assertEqual(where_to_wait(None, LIMIT_S, None, False), 'nowhere')
+        self.assertEqual(queueing_decision(None, LIMIT_S, None, True), 'on')
+        self.assertEqual(queueing_decision(None, LIMIT_S, 0.2, False), 'back')
+        self.assertEqual(
+            queueing_decision(None, LIMIT_S, None, False), 'nowhere'
+        )
         self.assertFalse(refusal_is_final(reasons.FULL, 0))
         self.assertTrue(refusal_is_final(reasons.FULL, 2))
 
@@ -141,10 +145,10 @@
     def test_callers_wait_for_starting_hosts(self) -> None:
         """Unless no retransmission of their first packet is left."""
         starting = [reasons.DRAINING, reasons.REFUSING]
-        self.assertFalse(nobody_is_final(starting, 0))
-        self.assertTrue(nobody_is_final(starting, 2))
-        self.assertTrue(nobody_is_final([reasons.DRAINING, reasons.OUT], 0))
-        self.assertTrue(nobody_is_final([], 0))
+        self.assertFalse(no_host_is_final(starting, 0))
+        self.assertTrue(no_host_is_final(starting, 2))
+        self.assertTrue(no_host_is_final([reasons.DRAINING, reasons.OUT], 0))
+        self.assertTrue(no_host_is_final([], 0))
 
 
 class TestExpectedRequests(unittest.TestCase):
--- a/tests/admission/test_judge.py
+++ b/tests/admission/test_judge.py
@@ -5,7 +5,7 @@
 from siskinbank.admission.judge import (
     Health,
     LoadReport,
-    UpstreamJudge,
+    HealthMonitor,
     Verdict,
 )
 from siskinbank.kernel.clock import FakeClock
@@ -28,7 +28,7 @@
         """Create a monitor that has seen good answers for a while."""
         self.clock = FakeClock()
         self.verdicts: list[Verdict] = []
-        self.judge = UpstreamJudge(self.clock, self.verdicts.append, 60)
+        self.judge = HealthMonitor(self.clock, self.verdicts.append, 60)
         for _ in range(20):
             self.step(report(1))
 
--- a/tests/admission/test_places.py
+++ b/tests/admission/test_places.py
@@ -3,7 +3,7 @@
 import unittest
 
 from siskinbank.admission.limit import ClimbingLimit
-from siskinbank.admission.places import FlowPlaces
+from siskinbank.admission.places import FlowSuspension
 from siskinbank.kernel.clock import FakeClock
 
 FLOWS = range(100)
@@ -17,7 +17,7 @@
         """Open a hundred flows on a warm upstream."""
         self.clock = FakeClock()
         self.limit = ClimbingLimit(COLD, 200, 10, self.clock)
-        self.places = FlowPlaces(self.limit, self.clock)
+        self.places = FlowSuspension(self.limit, self.clock)
         self.clock.advance(10)
         for _ in FLOWS:
             self.limit.take()
--- a/tests/admission/test_waiting_room.py
+++ b/tests/admission/test_waiting_room.py
@@ -4,8 +4,8 @@
 import unittest
 
 from siskinbank.admission.waiting_room import (
-    KeptOpening,
-    WaitingRoom,
+    QueuedOpening,
+    PendingQueue,
     sent_ago_s,
 )
 from siskinbank.relay.messages import Opening
@@ -26,12 +26,14 @@
 DURATION_S = 6
 
 
-def backlog(aim_s: float) -> WaitingRoom:
+def backlog(target_latency_s: float) -> PendingQueue:
     """Return a queue with first packets retransmitted at the same time."""
-    room = WaitingRoom()
+    room = PendingQueue()
     for number in range(BACKLOG):
         sent = -sent_ago_s(1 + number % 2)
-        room.keep(b'old%d' % number, KeptOpening(OPENING, 0, sent, aim_s))
+        room.enqueue(
+            b'old%d' % number, QueuedOpening(OPENING, 0, sent, target_latency_s)
+        )
     return room
 
 
@@ -41,7 +43,7 @@
     return [now for now in steps if rng.random() < rate * STEP_S]
 
 
-def replay(aim_s: float, rate: float = RATE) -> float:
+def replay(target_latency_s: float, rate: float = RATE) -> float:
     """Replay a host with one slot after a power failure of 1.5 s.
 
     Args:
@@ -53,7 +55,7 @@
         The share of the requests sent afterwards that were in time.
     """
     rng = random.Random(7)
-    room = backlog(aim_s)
+    room = backlog(target_latency_s)
     sent_times = new_requests(rng, rate)
     pending = list(sent_times)
     free_at = 0
@@ -62,7 +64,10 @@
         now = step * STEP_S
         while pending and pending[0] <= now:
             sent = pending.pop(0)
-            room.keep(b'new%d' % step, KeptOpening(OPENING, now, sent, aim_s))
+            room.enqueue(
+                b'new%d' % step,
+                QueuedOpening(OPENING, now, sent, target_latency_s),
+            )
         found = room.next(now, WORK_S, 1) if now >= free_at else None
         if found:
             free_at = now + rng.uniform(0.5, 1.5) * WORK_S
@@ -85,9 +90,9 @@
 
     def test_the_newest_of_many_goes_first(self) -> None:
         """Of those that can be in time; a few keep their order."""
-        room = WaitingRoom()
+        room = PendingQueue()
         for key, sent in ((b'a', 99.97), (b'b', 99.98), (b'c', 99.99)):
-            room.keep(key, KeptOpening(OPENING, 100, sent, TARGET_S))
+            room.enqueue(key, QueuedOpening(OPENING, 100, sent, TARGET_S))
         order = []
         while found := room.next(100, WORK_S, 1):
             order.append(found[0])
@@ -95,9 +100,9 @@
 
     def test_late_flows_get_the_slots_that_are_left(self) -> None:
         """In their order, after those that can be in time."""
-        room = WaitingRoom()
+        room = PendingQueue()
         for key, sent in ((b'a', 99.4), (b'b', 99.8), (b'c', 99.99)):
-            room.keep(key, KeptOpening(OPENING, 100, sent, TARGET_S))
+            room.enqueue(key, QueuedOpening(OPENING, 100, sent, TARGET_S))
         order = []
         while found := room.next(100, WORK_S, 1):
             order.append(found[0])
@@ -105,9 +110,9 @@
 
     def test_one_request_waits_at_the_host(self) -> None:
         """One is ready when a slot becomes free; there is no second one."""
-        room = WaitingRoom()
+        room = PendingQueue()
         for key, sent in ((b'a', 99.4), (b'b', 99.99)):
-            room.keep(key, KeptOpening(OPENING, 100, sent, TARGET_S))
+            room.enqueue(key, QueuedOpening(OPENING, 100, sent, TARGET_S))
         self.assertIsNone(room.next(100, WORK_S, -1))
         found = room.next(100, WORK_S, 0)
         self.assertEqual(found and found[0], b'b')
@@ -117,28 +122,30 @@
 
     def test_count_ahead_of_a_new_flow(self) -> None:
         """All, unless it can be in time."""
-        room = WaitingRoom()
-        room.keep(b'a', KeptOpening(OPENING, 100, 99.4, TARGET_S))
-        room.keep(b'b', KeptOpening(OPENING, 100, 100, TARGET_S))
-        new = KeptOpening(OPENING, 100, 100, TARGET_S)
-        late = KeptOpening(OPENING, 100, 99.4, TARGET_S)
+        room = PendingQueue()
+        room.enqueue(b'a', QueuedOpening(OPENING, 100, 99.4, TARGET_S))
+        room.enqueue(b'b', QueuedOpening(OPENING, 100, 100, TARGET_S))
+        new = QueuedOpening(OPENING, 100, 100, TARGET_S)
+        late = QueuedOpening(OPENING, 100, 99.4, TARGET_S)
         self.assertEqual(room.ahead_of(new, 100, WORK_S), 1)
         self.assertEqual(room.ahead_of(late, 100, WORK_S), 2)
 
     def test_abandoned_flows_are_removed(self) -> None:
         """The host would open them for no client."""
-        room = WaitingRoom()
-        room.keep(b'a', KeptOpening(OPENING, 100, 99.4, TARGET_S))
-        room.keep(b'b', KeptOpening(OPENING, 100, 100, TARGET_S))
-        gone = room.drop_given_up(101)
+        room = PendingQueue()
+        room.enqueue(b'a', QueuedOpening(OPENING, 100, 99.4, TARGET_S))
+        room.enqueue(b'b', QueuedOpening(OPENING, 100, 100, TARGET_S))
+        gone = room.remove_abandoned(101)
         self.assertEqual([key for key, _ in gone], [b'a'])
         self.assertEqual(len(room), 1)
 
     def test_capacity(self) -> None:
         """Above some hundreds the queue is full."""
-        room = WaitingRoom()
+        room = PendingQueue()
         while not room.full:
-            room.keep(b'%d' % len(room), KeptOpening(OPENING, 0, 0, TARGET_S))
+            room.enqueue(
+                b'%d' % len(room), QueuedOpening(OPENING, 0, 0, TARGET_S)
+            )
         self.assertLessEqual(len(room), 1000)
         self.assertEqual(len(room.clear()), 256)
         self.assertFalse(room.full)
--- a/tests/beliefs/test_freshness.py
+++ b/tests/beliefs/test_freshness.py
@@ -3,12 +3,12 @@
 import unittest
 
 from siskinbank.beliefs.freshness import (
-    StoreReturn,
-    hosts_patience_s,
-    operator_patience_s,
+    StoreAvailability,
+    hosts_read_age_s,
+    operator_read_age_s,
     pause_after_failures_s,
-    rank_of,
-    sidecar_reads,
+    reader_rank,
+    sidecar_should_read,
 )
 
 # From a host's announcement to its effect everywhere, in seconds.
@@ -20,20 +20,20 @@
 
     def test_not_soon_after_an_outage(self) -> None:
         """Expired entries are registered again within two seconds."""
-        store = StoreReturn()
-        self.assertFalse(store.trusts_absence(100))
+        store = StoreAvailability()
+        self.assertFalse(store.absence_is_reliable(100))
         store.note_read(100, -1e9)
-        self.assertFalse(store.trusts_absence(102))
-        self.assertTrue(store.trusts_absence(102.4))
+        self.assertFalse(store.absence_is_reliable(102))
+        self.assertTrue(store.absence_is_reliable(102.4))
         store.note_read(110, 105)
-        self.assertFalse(store.trusts_absence(111))
+        self.assertFalse(store.absence_is_reliable(111))
 
     def test_reads_by_other_processes_count(self) -> None:
         """The other processes saw that the store was available."""
-        store = StoreReturn()
+        store = StoreAvailability()
         store.note_read(100, -1e9)
         store.note_read(140, 139.5)
-        self.assertTrue(store.trusts_absence(140))
+        self.assertTrue(store.absence_is_reliable(140))
 
 
 class TestReadAges(unittest.TestCase):
@@ -41,19 +41,19 @@
 
     def test_ranks(self) -> None:
         """By address among the live processes."""
-        self.assertEqual(rank_of(b'b', [b'a', b'c']), 1)
-        self.assertEqual(rank_of(b'a', []), 0)
+        self.assertEqual(reader_rank(b'b', [b'a', b'c']), 1)
+        self.assertEqual(reader_rank(b'a', []), 0)
 
     def test_the_next_reader_waits_for_the_first(self) -> None:
         """The announcement of a read takes a quarter second to all peers."""
         for rank in range(1, 30):
-            longer = hosts_patience_s(rank) - hosts_patience_s(0)
+            longer = hosts_read_age_s(rank) - hosts_read_age_s(0)
             self.assertGreaterEqual(longer, 0.25)
-            self.assertGreaterEqual(operator_patience_s(rank), 1.25)
+            self.assertGreaterEqual(operator_read_age_s(rank), 1.25)
 
     def test_two_dead_readers_are_replaced_in_time(self) -> None:
         """The third process reads before its data is too old."""
-        for patience in (hosts_patience_s, operator_patience_s):
+        for patience in (hosts_read_age_s, operator_read_age_s):
             self.assertLessEqual(patience(2) + 0.25, _ALLOWED_S - 1)
 
     def test_sidecars_leave_reads_to_entries(self) -> None:
@@ -64,12 +64,12 @@
             for step in range(200):
                 now = 100 + step / 10
                 received_at = float(int(now)) if received else received_at
-                if sidecar_reads(now, 100, received_at, own_read_at):
+                if sidecar_should_read(now, 100, received_at, own_read_at):
                     reads += 1
                     own_read_at = now
             self.assertLessEqual(reads, most)
-        self.assertFalse(sidecar_reads(100.9, 100, -1e9, -1e9))
-        self.assertTrue(sidecar_reads(101.2, 100, -1e9, -1e9))
+        self.assertFalse(sidecar_should_read(100.9, 100, -1e9, -1e9))
+        self.assertTrue(sidecar_should_read(101.2, 100, -1e9, -1e9))
 
     def test_pauses_grow_while_the_store_is_down(self) -> None:
         """But the first reader tries at least once a second."""
--- a/tests/beliefs/test_own_host.py
+++ b/tests/beliefs/test_own_host.py
@@ -33,7 +33,7 @@
     def setUp(self) -> None:
         """Create a healthy host at time 100."""
         self.host = OwnHost(SERVICE, 100, 50_000)
-        self.host.believe(record(), 100)
+        self.host.apply_record(record(), 100)
 
     def test_reasons_from_the_record(self) -> None:
         """The latest record applies."""
@@ -47,57 +47,57 @@
                 (flags, reasons.NONE),
             ),
         ):
-            self.host.believe(record(20 + step, 20 + step, more), 101)
-            found = self.host.reason_against(SERVICE, 101)
+            self.host.apply_record(record(20 + step, 20 + step, more), 101)
+            found = self.host.refusal_reason(SERVICE, 101)
             self.assertEqual(found, reason)
 
     def test_another_service(self) -> None:
         """Stated by the entry, or by the record."""
-        found = self.host.reason_against(OTHER, 101)
+        found = self.host.refusal_reason(OTHER, 101)
         self.assertEqual(found, reasons.OTHER_SERVICE)
         moved = record(11)
         moved.service = OTHER
-        self.host.believe(moved, 101)
-        found = self.host.reason_against(SERVICE, 101)
+        self.host.apply_record(moved, 101)
+        found = self.host.refusal_reason(SERVICE, 101)
         self.assertEqual(found, reasons.OTHER_SERVICE)
 
     def test_older_records_are_ignored(self) -> None:
         """Neither the host's part nor the operator's part goes back."""
         flags = messages.REGISTERED | messages.OUT | messages.OPERATOR
-        self.host.believe(record(20, 20, flags), 101)
-        self.assertFalse(self.host.believe(record(19, 30), 102))
+        self.host.apply_record(record(20, 20, flags), 101)
+        self.assertFalse(self.host.apply_record(record(19, 30), 102))
         self.assertEqual(self.host.state(102), reasons.OUT)
-        self.assertTrue(self.host.believe(record(21, 19), 102))
+        self.assertTrue(self.host.apply_record(record(21, 19), 102))
         self.assertEqual(self.host.state(102), reasons.OUT)
-        self.assertTrue(self.host.believe(record(22, 21), 102))
+        self.assertTrue(self.host.apply_record(record(22, 21), 102))
         self.assertEqual(self.host.state(102), reasons.NONE)
 
     def test_an_unreachable_host_is_tried_again(self) -> None:
         """After a second, or at once when it restarted."""
-        self.assertTrue(self.host.lose(200))
-        self.assertFalse(self.host.lose(200.1))
+        self.assertTrue(self.host.note_unreachable(200))
+        self.assertFalse(self.host.note_unreachable(200.1))
         self.assertEqual(self.host.state(200.5), reasons.UNREACHABLE)
         self.assertEqual(self.host.state(201.2), reasons.NONE)
-        self.host.lose(300)
+        self.host.note_unreachable(300)
         restarted = record(30)
         restarted.born_ms = 8
-        self.host.believe(restarted, 300.1)
+        self.host.apply_record(restarted, 300.1)
         self.assertEqual(self.host.state(300.1), reasons.NONE)
 
     def test_a_refusing_host_is_paused(self) -> None:
         """Until it accepts a flow or restarts."""
-        self.host.refusing.note_refusal(200)
+        self.host.refusal_backoff.note_refusal(200)
         self.assertEqual(self.host.state(200), reasons.NONE)
-        self.host.refusing.note_refusal(200)
+        self.host.refusal_backoff.note_refusal(200)
         self.assertEqual(self.host.state(200.1), reasons.REFUSING)
         restarted = record(30)
         restarted.born_ms = 8
-        self.host.believe(restarted, 200.1)
+        self.host.apply_record(restarted, 200.1)
         self.assertEqual(self.host.state(200.1), reasons.NONE)
 
     def test_the_operators_flags_are_kept(self) -> None:
         """A record with an older operator revision does not change them."""
-        self.host.believe(record(11, 0, messages.REGISTERED), 101)
+        self.host.apply_record(record(11, 0, messages.REGISTERED), 101)
         known = self.host.record
         self.assertEqual(known and known.flags, HEALTHY)
 
@@ -106,14 +106,14 @@
         cold = record(11)
         cold.cold_s = 2
         cold.cold_per_s = 1
-        self.host.believe(cold, 100)
+        self.host.apply_record(cold, 100)
         for _ in range(4):
             self.assertEqual(
-                self.host.reason_against(SERVICE, 100),
+                self.host.refusal_reason(SERVICE, 100),
                 reasons.NONE,
             )
-            self.host.note_taken(b'key', 100)
-        found = self.host.reason_against(SERVICE, 100.5)
+            self.host.note_admitted(b'key', 100)
+        found = self.host.refusal_reason(SERVICE, 100.5)
         self.assertEqual(found, reasons.COLD)
         self.assertIsNone(self.host.spare(102.1))
         cold.cold_per_s = 0
@@ -133,10 +133,10 @@
         host = OwnHost(SERVICE, 100, 50_000)
         self.assertTrue(host.expects_record(100.4))
         self.assertFalse(host.expects_record(100.6))
-        self.assertEqual(host.reason_against(SERVICE, 100), reasons.NONE)
-        host.doubt(200)
+        self.assertEqual(host.refusal_reason(SERVICE, 100), reasons.NONE)
+        host.expect_record(200)
         self.assertTrue(host.expects_record(200.1))
-        host.believe(record(), 200.1)
+        host.apply_record(record(), 200.1)
         self.assertFalse(host.expects_record(200.1))
         self.assertEqual(host.age_ms(200.3), 200)
 
@@ -148,34 +148,34 @@
         """Load pattern: flow searches after a power failure of machines."""
         for born_ms, complete in ((7, False), (49_700, False), (49_900, True)):
             host = OwnHost(SERVICE, 100, 50_000)
-            self.assertFalse(host.seen_whole(101))
+            self.assertFalse(host.knows_all_flows(101))
             found = record()
             found.born_ms = born_ms
-            host.believe(found, 101)
-            self.assertEqual(host.seen_whole(101), complete)
-            self.assertTrue(host.seen_whole(119))
+            host.apply_record(found, 101)
+            self.assertEqual(host.knows_all_flows(101), complete)
+            self.assertTrue(host.knows_all_flows(119))
 
     def test_a_host_without_a_record_gets_one_flow(self) -> None:
         """One flow at a time; a stall requires a new record."""
         host = OwnHost(SERVICE, 100, 50_000)
         self.assertFalse(host.is_trusted(100))
-        self.assertTrue(host.may_prove_itself(100))
-        host.note_taken(b'first', 100)
-        self.assertFalse(host.may_prove_itself(100.001))
+        self.assertTrue(host.may_accept_trial_flow(100))
+        host.note_admitted(b'first', 100)
+        self.assertFalse(host.may_accept_trial_flow(100.001))
         host.note_opened()
         self.assertTrue(host.is_trusted(100.1))
-        host.believe(record(), 101)
-        host.doubt(200)
+        host.apply_record(record(), 101)
+        host.expect_record(200)
         self.assertFalse(host.is_trusted(200.1))
-        self.assertFalse(host.may_prove_itself(200.1))
+        self.assertFalse(host.may_accept_trial_flow(200.1))
         self.assertTrue(host.is_trusted(200.6))
 
     def test_a_restarted_host_is_observed_anew(self) -> None:
         """Flows of its earlier incarnation do not count."""
         host = OwnHost(SERVICE, 100, 50_000)
-        host.believe(record(), 101)
-        self.assertTrue(host.seen_whole(119))
+        host.apply_record(record(), 101)
+        self.assertTrue(host.knows_all_flows(119))
         restarted = record(20)
         restarted.born_ms = 8
-        host.believe(restarted, 120)
-        self.assertFalse(host.seen_whole(121))
+        host.apply_record(restarted, 120)
+        self.assertFalse(host.knows_all_flows(121))
--- a/tests/choice/test_placement.py
+++ b/tests/choice/test_placement.py
@@ -3,21 +3,21 @@
 import random
 import unittest
 
-from siskinbank.beliefs.hosts import HostBelief, HostBeliefs
-from siskinbank.choice.placement import MAX_CANDIDATES, candidates, order
+from siskinbank.beliefs.hosts import TrackedHost, HostTable
+from siskinbank.choice.placement import MAX_CANDIDATES, candidates, rank_hosts
 from siskinbank.relay.messages import Status
 
 SERVICE = 7
 LOCAL_DATA_CENTRE = 1
 
 
-def make_host(number: int, now: float = 100, **status: int) -> HostBelief:
+def make_host(number: int, now: float = 100, **status: int) -> TrackedHost:
     """Return a host with some fields of its status changed."""
     host_status = Status(SERVICE, LOCAL_DATA_CENTRE)
     host_status.trusted = True
     for name, amount in status.items():
         setattr(host_status, name, amount)
-    return HostBelief(f'10.0.0.{number}', host_status, now)
+    return TrackedHost(f'10.0.0.{number}', host_status, now)
 
 
 class TestOrder(unittest.TestCase):
@@ -27,12 +27,12 @@
         """Requests count more than flows; own placements count at once."""
         hosts = [make_host(1, busy=3), make_host(2, flows=10), make_host(3)]
         found = [
-            host.ip[-1] for host in order(hosts, 0, LOCAL_DATA_CENTRE, 100)
+            host.ip[-1] for host in rank_hosts(hosts, 0, LOCAL_DATA_CENTRE, 100)
         ]
         self.assertEqual(found, ['3', '2', '1'])
         hosts[2].pending = 5
         found = [
-            host.ip[-1] for host in order(hosts, 0, LOCAL_DATA_CENTRE, 100)
+            host.ip[-1] for host in rank_hosts(hosts, 0, LOCAL_DATA_CENTRE, 100)
         ]
         self.assertEqual(found, ['2', '1', '3'])
 
@@ -42,7 +42,7 @@
         for busy, first in ((0, '2'), (1, '1')):
             hosts = [remote, make_host(2, busy=busy)]
             self.assertEqual(
-                order(hosts, 0, LOCAL_DATA_CENTRE, 100)[0].ip[-1], first
+                rank_hosts(hosts, 0, LOCAL_DATA_CENTRE, 100)[0].ip[-1], first
             )
 
     def test_untrusted_hosts_are_no_worse_than_busy_ones(self) -> None:
@@ -51,7 +51,7 @@
         for busy, first in ((0, '2'), (2, '1')):
             hosts = [unknown, make_host(2, busy=busy)]
             self.assertEqual(
-                order(hosts, 0, LOCAL_DATA_CENTRE, 100)[0].ip[-1], first
+                rank_hosts(hosts, 0, LOCAL_DATA_CENTRE, 100)[0].ip[-1], first
             )
 
     def test_refusing_hosts_are_left_out(self) -> None:
@@ -59,10 +59,12 @@
         silent = make_host(1, now=90)
         hosts = [silent, make_host(2, state=2), make_host(3)]
         self.assertEqual(
-            [host.ip[-1] for host in order(hosts, 0, 1, 100)], ['3']
+            [host.ip[-1] for host in rank_hosts(hosts, 0, 1, 100)], ['3']
         )
-        self.assertEqual(order(hosts[:2], 0, LOCAL_DATA_CENTRE, 100), [silent])
-        self.assertEqual(order([], 0, LOCAL_DATA_CENTRE, 100), [])
+        self.assertEqual(
+            rank_hosts(hosts[:2], 0, LOCAL_DATA_CENTRE, 100), [silent]
+        )
+        self.assertEqual(rank_hosts([], 0, LOCAL_DATA_CENTRE, 100), [])
 
     def test_entries_do_not_all_name_the_same_hosts(self) -> None:
         """Replay: 50 entries, 40 busy hosts, some with more flows.
@@ -75,7 +77,9 @@
         rng = random.Random(1)
         queues = dict.fromkeys((host.ip for host in hosts), 0)
         for _ in range(200):
-            named = order(hosts, rng.randrange(1 << 32), LOCAL_DATA_CENTRE, 100)
+            named = rank_hosts(
+                hosts, rng.randrange(1 << 32), LOCAL_DATA_CENTRE, 100
+            )
             self.assertEqual(len({host.ip for host in named}), MAX_CANDIDATES)
             queues[
                 min((host.ip for host in named), key=queues.__getitem__)
@@ -88,7 +92,9 @@
         rng = random.Random(1)
         counts = dict.fromkeys((host.ip for host in hosts), 0)
         for _ in range(50):
-            best = order(hosts, rng.randrange(1 << 32), LOCAL_DATA_CENTRE, 100)
+            best = rank_hosts(
+                hosts, rng.randrange(1 << 32), LOCAL_DATA_CENTRE, 100
+            )
             self.assertEqual(len(best), MAX_CANDIDATES)
             counts[best[0].ip] += 1
         self.assertLessEqual(max(counts.values()), 15)
@@ -121,34 +127,36 @@
 
     def test_latest_status_applies(self) -> None:
         """A host may move to another service."""
-        table = HostBeliefs()
+        table = HostTable()
         self.assertTrue(
-            table.hear('10.0.0.1', Status(1, LOCAL_DATA_CENTRE), 100)
+            table.update_status('10.0.0.1', Status(1, LOCAL_DATA_CENTRE), 100)
         )
         self.assertFalse(
-            table.hear('10.0.0.1', Status(1, LOCAL_DATA_CENTRE), 100.4)
+            table.update_status('10.0.0.1', Status(1, LOCAL_DATA_CENTRE), 100.4)
         )
         self.assertTrue(
-            table.hear('10.0.0.1', Status(2, LOCAL_DATA_CENTRE), 100.8)
+            table.update_status('10.0.0.1', Status(2, LOCAL_DATA_CENTRE), 100.8)
         )
         self.assertEqual(table.of_service(1), [])
         self.assertEqual(len(table.of_service(2)), 1)
 
     def test_stalls_do_not_make_hosts_silent(self) -> None:
         """No host was silent while this process was stalled."""
-        table = HostBeliefs()
-        table.hear('10.0.0.1', Status(1, LOCAL_DATA_CENTRE), 100)
-        table.excuse(8)
+        table = HostTable()
+        table.update_status('10.0.0.1', Status(1, LOCAL_DATA_CENTRE), 100)
+        table.add_stall(8)
         self.assertEqual(len(table.addresses(109)), 1)
         table.sweep(200)
         self.assertEqual(len(table), 0)
 
     def test_usual_interval(self) -> None:
         """The interval between updates; a single long one loses its effect."""
-        table = HostBeliefs()
+        table = HostTable()
         now: float = 100
         for number in range(16):
             now += 9 if number == 3 else 0.4
-            table.hear('10.0.0.1', Status(1, LOCAL_DATA_CENTRE), now)
+            table.update_status('10.0.0.1', Status(1, LOCAL_DATA_CENTRE), now)
         host = table.get('10.0.0.1')
-        self.assertAlmostEqual(host.pause_s if host else 0, 0.4, delta=0.1)
+        self.assertAlmostEqual(
+            host.usual_interval_s if host else 0, 0.4, delta=0.1
+        )
--- a/tests/platform/test_records.py
+++ b/tests/platform/test_records.py
@@ -100,7 +100,7 @@
         self.assertEqual(version, 9)
         route = routes[bytes((198, 18, 0, 1, 443 >> 8, 443 & 255))]
         self.assertEqual(route.service_for(5), 'matcher')
-        self.assertEqual((route.limit_s, route.aim_s), (1.5, 1.5))
+        self.assertEqual((route.limit_s, route.target_latency_s), (1.5, 1.5))
         self.assertFalse(route.repeatable)
         self.assertEqual(warmths['matcher'].per_s, 4)
 
--- a/tests/relay/test_gossip.py
+++ b/tests/relay/test_gossip.py
@@ -4,7 +4,7 @@
 from types import SimpleNamespace
 from typing import Any
 
-from siskinbank.beliefs.hosts import HostBeliefs
+from siskinbank.beliefs.hosts import HostTable
 from siskinbank.relay import messages
 from siskinbank.relay.gossip import Gossip
 from siskinbank.relay.loop import NEVER, Loop
@@ -46,7 +46,7 @@
             fetch_if_newer=lambda *_: None
         )
         self.gossip = Gossip(
-            node, HostBeliefs(), follower, configuration_transfer
+            node, HostTable(), follower, configuration_transfer
         )
         for ip in OTHERS:
             node.handlers[messages.ANNOUNCEMENT](
--- a/tests/relay/test_seeker.py
+++ b/tests/relay/test_seeker.py
@@ -5,7 +5,7 @@
 from types import SimpleNamespace
 from typing import Any
 
-from siskinbank.beliefs.hosts import HostBeliefs
+from siskinbank.beliefs.hosts import HostTable
 from siskinbank.platform.records import Route
 from siskinbank.relay import messages
 from siskinbank.relay.loop import Loop
@@ -48,12 +48,12 @@
         self.sent: list[tuple[str, bytes]] = []
         self.resets: list[str] = []
         loop = Loop()
-        hosts = HostBeliefs()
+        hosts = HostTable()
         registered = {}
         for number in range(HOSTS):
             ip = f'10.0.0.{number + 1}'
             status = messages.Status(messages.digest(SERVICE), 1)
-            hosts.hear(ip, status, loop.now)
+            hosts.update_status(ip, status, loop.now)
             registered[ip] = SimpleNamespace(service=SERVICE)
         node: Any = SimpleNamespace(
             loop=loop,
@@ -69,7 +69,7 @@
             hosts=registered,
             hosts_revision=5,
             hosts_seen=loop.now,
-            trusts_absence=lambda: True,
+            absence_is_reliable=lambda: True,
         )
         gossip: Any = SimpleNamespace(request_hosts_read=bool)
         self.handlers = node.handlers
--- a/tests/sidecar/test_watch.py
+++ b/tests/sidecar/test_watch.py
@@ -5,7 +5,7 @@
 
 from aiohttp import web
 
-from siskinbank.admission.judge import Health, UpstreamJudge, Verdict
+from siskinbank.admission.judge import Health, HealthMonitor, Verdict
 from siskinbank.kernel.clock import FakeClock
 from siskinbank.lab.standins.health import HealthEndpoint, HealthMode
 from siskinbank.sidecar.watch import probe, read_report
@@ -46,7 +46,7 @@
     async def test_restart_is_detected(self) -> None:
         """A new incarnation of the upstream is detected at once."""
         verdicts: list[Verdict] = []
-        judge = UpstreamJudge(FakeClock(), verdicts.append, 60)
+        judge = HealthMonitor(FakeClock(), verdicts.append, 60)
         judge.note_report(await read_report(self.url))
         self.endpoint.restart()
         judge.note_report(await read_report(self.url))
@@ -55,7 +55,7 @@
     async def test_probe(self) -> None:
         """Refused connections mark the upstream as unreachable."""
         verdicts: list[Verdict] = []
-        judge = UpstreamJudge(FakeClock(), verdicts.append, 60)
+        judge = HealthMonitor(FakeClock(), verdicts.append, 60)
         await probe(self.address, judge)
         await self.runner.cleanup()
         for _ in range(3):
