--- a/siskinbank/directory/beliefs.py
+++ b/siskinbank/directory/beliefs.py
@@ -12,7 +12,7 @@
 #: Seconds after which a silent host that the live list omits is gone.
 OMITTED_GONE_SECONDS = 5
 #: Seconds after which a silent host is gone, whatever the live list says.
-EVIDENCE_SECONDS = 15
+SILENT_GONE_SECONDS = 15
 
 
 def find_gone(
@@ -49,7 +49,7 @@
 
 
 def _is_gone(record: Record | None, silent_seconds: float) -> bool:
-    if silent_seconds >= EVIDENCE_SECONDS:
+    if silent_seconds >= SILENT_GONE_SECONDS:
         return True
     absent = record is None or record.listing == Listing.absent
     return absent and silent_seconds >= OMITTED_GONE_SECONDS
--- a/siskinbank/directory/follower.py
+++ b/siskinbank/directory/follower.py
@@ -21,7 +21,7 @@
 from siskinbank.directory.client import PlatformClient, PlatformError
 from siskinbank.directory.listing import ListReader
 
-__all__ = ('Follower',)
+__all__ = ('PlatformFollower',)
 
 _RANK_CHECK_SECONDS = 0.5
 _JOIN_POLL_SECONDS = 0.1
@@ -31,7 +31,7 @@
 _LIST_BYTES_PER_SECOND = 20_000
 
 
-class Follower:
+class PlatformFollower:
     """Reads changed sections and the live list and passes them to gossip."""
 
     def __init__(
@@ -88,7 +88,7 @@
             gossip.roster,
             identity.data_centre,
             identity.name,
-            gossip.words,
+            gossip.statuses,
         )
         reading = rank is not None and rank < READERS
         if reading and not self._reading:
--- a/siskinbank/directory/view.py
+++ b/siskinbank/directory/view.py
@@ -117,9 +117,9 @@
             if instance.role is Role.sidecar
             and instance.state is InstanceState.leaving
         )
-        self.take_beliefs(leaving, self._gone)
+        self.update_membership(leaving, self._gone)
 
-    def take_beliefs(
+    def update_membership(
         self,
         leaving: frozenset[str],
         gone: frozenset[str],
@@ -131,7 +131,7 @@
         self._gone = gone
         self._notify()
 
-    def follow_freshness(
+    def set_freshness_source(
         self,
         is_fresh: Callable[[], bool],
         age_source: Callable[[], float | None],
--- a/siskinbank/lab/membership.py
+++ b/siskinbank/lab/membership.py
@@ -5,7 +5,7 @@
 from siskinbank.lab.experiment import ExperimentReport, at_least, at_most
 from siskinbank.lab.virtual import VirtualNode
 from siskinbank.lab.virtual_fleet import VirtualFleet
-from siskinbank.directory.beliefs import EVIDENCE_SECONDS
+from siskinbank.directory.beliefs import SILENT_GONE_SECONDS
 from siskinbank.directory.live import InstanceState
 
 __all__ = ('measure_membership',)
@@ -59,7 +59,7 @@
         ),
         at_least(
             'seconds until a dead host is gone at the first',
-            EVIDENCE_SECONDS,
+            SILENT_GONE_SECONDS,
             figures['seconds_gone_first'],
         ),
         at_most(
--- a/siskinbank/lab/virtual.py
+++ b/siskinbank/lab/virtual.py
@@ -151,7 +151,7 @@
             rng,
         )
         self.gossip.on_adopt = self._record_adopted
-        self.gossip.on_beliefs = self._record_leaving_and_gone
+        self.gossip.on_membership_change = self._record_leaving_and_gone
         self.gossip.subscribe_to(self.peers.subscribe)
         self.adopted: list[tuple[float, int]] = []
         self.ever_gone: set[str] = set()
--- a/siskinbank/lab/virtual_fleet.py
+++ b/siskinbank/lab/virtual_fleet.py
@@ -140,7 +140,7 @@
             gossip.roster,
             identity.data_centre,
             identity.name,
-            gossip.words,
+            gossip.statuses,
         )
         interval = read_interval(
             rank,
--- a/siskinbank/node.py
+++ b/siskinbank/node.py
@@ -10,7 +10,7 @@
 from siskinbank.peers.gossip import Gossip, Identity
 from siskinbank.peers.refusals import RefusalLog
 from siskinbank.directory.client import PlatformClient
-from siskinbank.directory.follower import Follower
+from siskinbank.directory.follower import PlatformFollower
 from siskinbank.directory.store import DocumentStore
 from siskinbank.directory.view import FleetView
 from siskinbank.settings import ProcessSettings
@@ -49,7 +49,7 @@
     gossip = _make_gossip(process, settings, view, peers)
     node = Node(process, settings, view, peers, gossip)
     client = PlatformClient(settings.platform)
-    follower = Follower(client, gossip, process.log, process.metrics)
+    follower = PlatformFollower(client, gossip, process.log, process.metrics)
     gossip.start()
     process.start_task(follower.run())
     process.start_task(_declare_leaving(process, gossip))
@@ -91,13 +91,13 @@
         view.adopt(site)
 
     def update_view() -> None:
-        view.take_beliefs(gossip.leaving, gossip.gone)
+        view.update_membership(gossip.leaving, gossip.gone)
 
     gossip.seeds = settings.peers
     gossip.on_adopt = adopt
-    gossip.on_beliefs = update_view
+    gossip.on_membership_change = update_view
     gossip.subscribe_to(peers.subscribe)
-    view.follow_freshness(
+    view.set_freshness_source(
         lambda: gossip.fresh,
         lambda: gossip.freshness.age,
     )
--- a/siskinbank/peers/datagrams.py
+++ b/siskinbank/peers/datagrams.py
@@ -85,7 +85,7 @@
         self.on_envelope: EnvelopeHandler = _ignore
         self.on_message: MessageHandler = _ignore
         self.on_unkeyed: Callable[[], None] = _ignore_unkeyed
-        self.take_body: Callable[[bytes], bool] = _leave_to_default
+        self.handle_body: Callable[[bytes], bool] = _leave_to_default
 
     def subscribe(self, kind: type[Message], handler: MessageHandler) -> None:
         """Pass messages of one class to ``handler``.
@@ -111,7 +111,7 @@
             self._metrics.count(Drop.unkeyed)
             self.on_unkeyed()
         elif body[0] == PACKET_KIND:
-            if not self.take_body(body):
+            if not self.handle_body(body):
                 self._receive_envelope(body, sender)
         else:
             self._receive_message(body, sender)
--- a/siskinbank/peers/gossip.py
+++ b/siskinbank/peers/gossip.py
@@ -95,14 +95,14 @@
         self.identity = identity
         self.store = store
         self.roster = Roster()
-        self.words = MemberStatusTable()
+        self.statuses = MemberStatusTable()
         self.ages = DataCentreAges()
-        self.laggards = LaggingProcesses(identity.name)
+        self.lagging = LaggingProcesses(identity.name)
         self.seeds: tuple[Address, ...] = ()
         self.gone: frozenset[str] = frozenset()
         self.leaving: frozenset[str] = frozenset()
         self.on_adopt: Callable[[Site], None] = _ignore_site
-        self.on_beliefs: Callable[[], None] = _ignore_change
+        self.on_membership_change: Callable[[], None] = _ignore_change
         self._timers = timers
         self._send = send
         self._metrics = metrics
@@ -188,7 +188,7 @@
             self.ask_peers()
         successors, silent = self._ring.update(
             self.roster,
-            self.words,
+            self.statuses,
             self.now,
             reset=not self.freshness.lease_valid,
         )
@@ -247,7 +247,7 @@
         peer: Address,
         flags: int = 0,
         echo: int = 0,
-        words: list[Any] | None = None,
+        statuses: list[Any] | None = None,
     ) -> None:
         generation, digest = self.store.in_force
         sent = Announce(
@@ -262,8 +262,8 @@
             self.roster.root,
             self.ages.parts(self.now),
             self._updates.next_records(),
-            words or self._updates.next_statuses(),
-            self.laggards.parts(generation, self.now),
+            statuses or self._updates.next_statuses(),
+            self.lagging.parts(generation, self.now),
         )
         self._send(sent, peer)
 
@@ -272,8 +272,8 @@
         if not own:
             self._answered_peers.add(sender)
         self._note_sender(received, sender)
-        self.laggards.note(received.name, received.generation, own, self.now)
-        self.laggards.merge(received.laggards, own, self.now)
+        self.lagging.note(received.name, received.generation, own, self.now)
+        self.lagging.merge(received.lagging, own, self.now)
         self._receive_updates(received)
         key = (received.generation, received.digest)
         self._document_fetch.consider(key, sender)
@@ -296,18 +296,18 @@
         self._ring.note_received(received.name, received.epoch, self.now)
         if received.flags & FRESH or not self.store.in_force[0]:
             self.freshness.note_reply(received.echo)
-        known = self.words.get(received.name)
+        known = self.statuses.get(received.name)
         if known is None:
             return
         alive = MemberStatus(received.epoch, MemberState.alive, received.name)
         self._merge_status(alive)
         if known.state == MemberState.silent and known > alive:
-            self._announce(sender, words=[known.parts])
+            self._announce(sender, statuses=[known.parts])
 
     def _receive_updates(self, received: Announce) -> None:
         if received.records:
             self.take_records(parse_records(received.records, self._metrics))
-        for parts in received.words:
+        for parts in received.statuses:
             status = parse_member_status(parts)
             if status is None:
                 self._metrics.count(Drop.malformed)
@@ -321,9 +321,9 @@
     def _merge_status(self, status: MemberStatus) -> None:
         if status.name == self.identity.name and status > self._own_status():
             self._epoch = max(self._epoch, status.epoch) + 1
-            self.words.forget(status.name)
+            self.statuses.forget(status.name)
             self._queue_status(self._own_status())
-        if self.words.merge(status, self.now):
+        if self.statuses.merge(status, self.now):
             self._queue_status(status)
 
     def _queue_status(self, status: MemberStatus) -> None:
@@ -373,30 +373,30 @@
             record = self._rng.choice(records)
             if record.name == self.identity.name:
                 continue
-            if self.words.silent_for(record.name, 0) is None:
+            if self.statuses.silent_for(record.name, 0) is None:
                 return record.address
         others = [seed for seed in self.seeds if seed != self.identity.address]
         return self._rng.choice(others) if others else None
 
     def _update_membership(self) -> None:
-        leaving = self.roster.index().leaving | self.words.leaving
+        leaving = self.roster.index().leaving | self.statuses.leaving
         gone = self.gone
         if self.freshness.lease_valid:
-            gone = find_gone(self.roster, self.words, self.ages, self.now)
+            gone = find_gone(self.roster, self.statuses, self.ages, self.now)
         if (leaving, gone) != (self.leaving, self.gone):
             self.leaving, self.gone = leaving, gone
-            self.on_beliefs()
+            self.on_membership_change()
 
     def _prune(self) -> None:
-        self.words.prune(self.now, _ALIVE_STATUS_SECONDS)
+        self.statuses.prune(self.now, _ALIVE_STATUS_SECONDS)
         removed = [
             name
-            for name, seconds in self.words.silent(self.now).items()
+            for name, seconds in self.statuses.silent(self.now).items()
             if seconds >= _REMOVE_SILENT_SECONDS and self._is_omitted(name)
         ]
         self.roster = self.roster.without(removed)
         for name in removed:
-            self.words.forget(name)
+            self.statuses.forget(name)
 
     def _is_omitted(self, name: str) -> bool:
         record = self.roster.get(name)
--- a/siskinbank/peers/readers.py
+++ b/siskinbank/peers/readers.py
@@ -7,7 +7,12 @@
 from siskinbank.directory.member_status import MemberStatusTable
 from siskinbank.util import digest64
 
-__all__ = ('FALLBACK_CALLS', 'READERS', 'read_interval', 'reader_rank')
+__all__ = (
+    'FALLBACK_CALLS_PER_SECOND',
+    'READERS',
+    'read_interval',
+    'reader_rank',
+)
 
 #: Number of processes of each data centre that read the platform.
 READERS = 3
@@ -19,7 +24,7 @@
 _MAX_DELAY_STEPS = 20
 _MAX_RANK = READERS + _MAX_DELAY_STEPS
 #: Limit on the calls per second of all fallback processes together.
-FALLBACK_CALLS = 100
+FALLBACK_CALLS_PER_SECOND = 100
 _CALLS_PER_READ = 2
 
 
@@ -85,5 +90,7 @@
         steps = min(rank - READERS, _MAX_DELAY_STEPS)
         if read_age <= FALLBACK_SECONDS + steps * _RANK_DELAY_SECONDS:
             return None
-    interval = max(fleet * _CALLS_PER_READ / FALLBACK_CALLS, READ_SECONDS)
+    interval = max(
+        fleet * _CALLS_PER_READ / FALLBACK_CALLS_PER_SECOND, READ_SECONDS
+    )
     return interval * rng.uniform(0.5, 1.5)
--- a/siskinbank/sidecar/packets.py
+++ b/siskinbank/sidecar/packets.py
@@ -95,7 +95,7 @@
             self._history,
             self.incarnation,
         )
-        context.peers.take_body = self.receive_owned
+        context.peers.handle_body = self.receive_owned
         context.peers.on_envelope = self.receive
         context.peers.on_message = self.receive_message
         context.view.subscribe(self._refresh)
--- a/siskinbank/status.py
+++ b/siskinbank/status.py
@@ -26,12 +26,12 @@
     """Return the status document of a process."""
     site = view.site
     now = process.timers.now
-    laggards = gossip.laggards.lowest(view.generation, now)
+    lagging = gossip.lagging.lowest(view.generation, now)
     rank = reader_rank(
         gossip.roster,
         settings.data_centre,
         process.name,
-        gossip.words,
+        gossip.statuses,
     )
     return {
         'name': process.name,
@@ -49,12 +49,12 @@
         'fleet_lowest_generation': min(
             [
                 view.generation,
-                *(lagging_process.generation for lagging_process in laggards),
+                *(lagging_process.generation for lagging_process in lagging),
             ],
         ),
         'lagging': {
             lagging_process.name: lagging_process.generation
-            for lagging_process in laggards
+            for lagging_process in lagging
         },
         'refused_generation': gossip.store.refused[0],
         'findings': gossip.store.findings,
--- a/siskinbank/wire/gossip.py
+++ b/siskinbank/wire/gossip.py
@@ -49,8 +49,8 @@
     roster: bytes
     ages: list  # type: ignore[type-arg]
     records: list  # type: ignore[type-arg]
-    words: list  # type: ignore[type-arg]
-    laggards: list  # type: ignore[type-arg]
+    statuses: list  # type: ignore[type-arg]
+    lagging: list  # type: ignore[type-arg]
 
 
 @message
--- a/tests/lab/test_dissemination.py
+++ b/tests/lab/test_dissemination.py
@@ -7,7 +7,7 @@
 from siskinbank.lab.configuration import measure_configuration
 from siskinbank.lab.membership import measure_membership
 from siskinbank.lab.virtual_fleet import CENTRES, VirtualFleet
-from siskinbank.peers.readers import FALLBACK_CALLS, READERS
+from siskinbank.peers.readers import FALLBACK_CALLS_PER_SECOND, READERS
 from siskinbank.directory.live import Role
 
 SIZE = 24
@@ -68,7 +68,7 @@
         readers = 2 * READERS * len(CENTRES)
         self.assertLessEqual(
             max(fleet.platform.calls.values()),
-            readers + FALLBACK_CALLS,
+            readers + FALLBACK_CALLS_PER_SECOND,
         )
 
     def test_two_documents_with_one_generation(self) -> None:
--- a/tests/peers/test_freshness.py
+++ b/tests/peers/test_freshness.py
@@ -9,7 +9,11 @@
 from siskinbank.lab.virtual import QuietLog
 from siskinbank.peers.freshness import LEASE_SECONDS, Freshness
 from siskinbank.peers.rate import TokenBucket
-from siskinbank.peers.readers import FALLBACK_CALLS, READERS, read_interval
+from siskinbank.peers.readers import (
+    FALLBACK_CALLS_PER_SECOND,
+    READERS,
+    read_interval,
+)
 from siskinbank.peers.transfer import PIECE_BYTES, PieceCollector, serve_ask
 from siskinbank.directory.store import DocumentStore
 from siskinbank.util import hex_digest
@@ -79,7 +83,7 @@
                     for _ in range(size)
                 )
                 # The mean of 1/x over the jitter is above 1/mean.
-                self.assertLess(rate, 1.2 * FALLBACK_CALLS)
+                self.assertLess(rate, 1.2 * FALLBACK_CALLS_PER_SECOND)
 
 
 class TestTransfer(unittest.TestCase):
--- a/tests/sidecar/test_context.py
+++ b/tests/sidecar/test_context.py
@@ -19,9 +19,9 @@
         pool.publish(PoolPlan({0: state}).next_site())
         context = sidecar.context
         if given.get('leaving'):
-            context.view.take_beliefs(frozenset((NAME,)), frozenset())
+            context.view.update_membership(frozenset((NAME,)), frozenset())
         if given.get('stale'):
-            context.view.follow_freshness(bool, lambda: None)
+            context.view.set_freshness_source(bool, lambda: None)
         if given.get('stopping'):
             context.process.stopping.set()
         self.assertEqual(context.accepts_work, context.refusal is None)
--- a/tests/sidecar/test_packets.py
+++ b/tests/sidecar/test_packets.py
@@ -442,7 +442,7 @@
             self.send(datagram)
         self.pool.kill(self.owner)
         for part in (*self.pool.entries.values(), *self.pool.sidecars.values()):
-            part.view.take_beliefs(frozenset(), frozenset((self.owner,)))
+            part.view.update_membership(frozenset(), frozenset((self.owner,)))
         self.send(self.raw)
         self.send(datagram)
         self.assertEqual(self.drops(Drop.owner_gone), 1)
