--- a/siskinbank/config/models.py
+++ b/siskinbank/config/models.py
@@ -30,7 +30,7 @@
 
 
 Name = Annotated[str, Field(pattern=_NAME_PATTERN)]
-IpNumber = Annotated[str, AfterValidator(_check_ip)]
+IpAddress = Annotated[str, AfterValidator(_check_ip)]
 Port = Annotated[int, Field(ge=1, le=_MAX_PORT)]
 
 
@@ -41,7 +41,7 @@
 class EndpointModel(_StrictModel):
     """The address of a service at one ingress."""
 
-    address: IpNumber = '0.0.0.0'
+    address: IpAddress = '0.0.0.0'
     port: Port
 
 
@@ -57,7 +57,7 @@
     """An upstream and its sidecar."""
 
     data_centre: Name
-    address: IpNumber
+    address: IpAddress
     port: Port
     weight: Annotated[float, Field(gt=0, le=_MAX_WEIGHT)] = 1
     state: HostState = HostState.active
--- a/siskinbank/directory/follower.py
+++ b/siskinbank/directory/follower.py
@@ -184,5 +184,5 @@
     def _note_failure(self, error: PlatformError) -> None:
         """Log the first of several consecutive failures."""
         if not self._platform_lost:
-            self._log.write(events.PLATFORM_LOST, error=error)
+            self._log.write(events.PLATFORM_UNREACHABLE, error=error)
         self._platform_lost = True
--- a/siskinbank/directory/live.py
+++ b/siskinbank/directory/live.py
@@ -5,7 +5,7 @@
 
 from pydantic import BaseModel, ConfigDict, TypeAdapter, ValidationError
 
-from siskinbank.config.models import IpNumber, Name, Port
+from siskinbank.config.models import IpAddress, Name, Port
 from siskinbank.config.site import Address
 
 __all__ = ('Instance', 'InstanceState', 'Role', 'parse_instances')
@@ -42,7 +42,7 @@
     name: Name
     role: Role
     data_centre: Name
-    address: IpNumber
+    address: IpAddress
     port: Port
     state: InstanceState = InstanceState.live
 
--- a/siskinbank/directory/store.py
+++ b/siskinbank/directory/store.py
@@ -162,7 +162,7 @@
         self.findings = [str(finding) for finding in findings]
         self._metrics.count(Ignored.invalid)
         for finding in findings:
-            self._log.write(events.REFUSED, finding=finding)
+            self._log.write(events.CONFIGURATION_REFUSED, finding=finding)
         self._prune()
 
     def _note_unwanted(self, key: DocumentKey) -> None:
@@ -176,7 +176,7 @@
         if key[0] and key != self._last_older:
             self._last_older = key
             self._log.write(
-                events.OLDER,
+                events.OLDER_IGNORED,
                 offered=key[0],
                 in_force=self.in_force[0],
             )
--- a/siskinbank/directory/view.py
+++ b/siskinbank/directory/view.py
@@ -94,14 +94,16 @@
         if self._site is not None and key <= self._key:
             if site.generation < self.generation:
                 self._log.write(
-                    events.OLDER,
+                    events.OLDER_IGNORED,
                     offered=site.generation,
                     in_force=self.generation,
                 )
             return False
         self._site = site
         self._key = key
-        self._log.write(events.ADOPTED, generation=site.generation)
+        self._log.write(
+            events.CONFIGURATION_ADOPTED, generation=site.generation
+        )
         self._notify()
         return True
 
--- a/siskinbank/ingress/fou.py
+++ b/siskinbank/ingress/fou.py
@@ -13,7 +13,7 @@
     ingresses,
 )
 from siskinbank.kernel.reasons import Drop
-from siskinbank.kernel.suspension import SuspensionGuard
+from siskinbank.kernel.suspension import SuspensionDetector
 from siskinbank.peers.datagrams import open_udp
 from siskinbank.wire.envelopes import NAMED, UNCACHED, Envelope
 from siskinbank.wire.flow_messages import Owner
@@ -46,7 +46,7 @@
         self._metrics = context.process.metrics
         self._forwarded = self._metrics.cell(_FORWARDED_METRIC)
         self._clock = context.process.timers.clock
-        self._suspension = SuspensionGuard(
+        self._suspension_detector = SuspensionDetector(
             context.process.timers,
             lambda: context.view.list_age,
             lambda: context.view.fresh,
@@ -73,7 +73,7 @@
             if (
                 route is not None
                 and route.receiver.allowed
-                and self._clock() <= self._suspension.until
+                and self._clock() <= self._suspension_detector.valid_until
             ):
                 self._forwarded[0] += 1
                 self.peers.send_packet(
@@ -110,7 +110,7 @@
         if service is None:
             self._metrics.count(Drop.unknown_service)
             return
-        if not self._suspension.awake:
+        if not self._suspension_detector.is_valid:
             self._metrics.count(Drop.stale_view)
             return
         if not self._forward_by_route(packet):
--- a/siskinbank/kernel/events.py
+++ b/siskinbank/kernel/events.py
@@ -61,25 +61,25 @@
     'stopped immediately',
     'A second signal ended the process; the fields count the interrupted work.',
 )
-ADOPTED = _define(
+CONFIGURATION_ADOPTED = _define(
     200,
     'INFO',
     'configuration in force',
     'The process now uses this generation.',
 )
-REFUSED = _define(
+CONFIGURATION_REFUSED = _define(
     201,
     'ERROR',
     'configuration refused',
     'A published generation is invalid; the last valid one stays in force.',
 )
-OLDER = _define(
+OLDER_IGNORED = _define(
     202,
     _WARNING,
     'older configuration ignored',
     'A generation lower than the one in force was offered.',
 )
-PLATFORM_LOST = _define(
+PLATFORM_UNREACHABLE = _define(
     210,
     _WARNING,
     'platform unreachable',
@@ -111,7 +111,7 @@
     'no peer answers',
     'The process continues with its current state until a peer answers.',
 )
-HEARD = _define(
+ISOLATION_ENDED = _define(
     222,
     'INFO',
     'peers answer again',
@@ -125,13 +125,13 @@
     'it was discarded. Written at most once a minute; the counters '
     '`unkeyed` and `unkeyed-stream` count every occurrence.',
 )
-KEYS_READ = _define(
+KEYS_RELOADED = _define(
     241,
     'INFO',
     'keys reloaded',
     'The key file has changed; the fields list the keys that are now valid.',
 )
-KEYS_BAD = _define(
+KEYS_UNREADABLE = _define(
     242,
     'ERROR',
     'keys cannot be read',
@@ -156,13 +156,13 @@
     'upstream unreachable',
     'It refuses or resets connections; no work is sent to it until it answers.',
 )
-UPSTREAM_BACK = _define(
+UPSTREAM_RECOVERED = _define(
     402,
     'INFO',
     'upstream answers again',
     'It is treated as cold and receives work as it warms up.',
 )
-REPORT_DISTRUSTED = _define(
+REPORT_IGNORED = _define(
     403,
     _WARNING,
     'upstream report ignored',
--- a/siskinbank/kernel/suspension.py
+++ b/siskinbank/kernel/suspension.py
@@ -4,7 +4,7 @@
 
 from siskinbank.kernel.timers import TimerService
 
-__all__ = ('SuspensionGuard',)
+__all__ = ('SuspensionDetector',)
 
 _CHECK_INTERVAL_SECONDS = 0.5
 #: A longer gap between two timer calls means that the process was suspended.
@@ -13,7 +13,7 @@
 _MAX_WAIT_SECONDS = 2
 
 
-class SuspensionGuard:
+class SuspensionDetector:
     """Detects suspension and blocks work until the view is fresh again.
 
     A hot path compares its clock with ``valid_until``. After a suspension
@@ -38,22 +38,22 @@
         self._list_age = list_age
         self._may_act = may_act
         self._resumed_at: float | None = None
-        self.until = timers.now + _MAX_GAP_SECONDS
+        self.valid_until = timers.now + _MAX_GAP_SECONDS
         timers.every(_CHECK_INTERVAL_SECONDS, self._check)
 
     @property
-    def awake(self) -> bool:
+    def is_valid(self) -> bool:
         """Whether the process may act now, without a known suspension."""
-        return self._timers.now <= self.until
+        return self._timers.now <= self.valid_until
 
     def _check(self) -> None:
         now = self._timers.now
         if not self._may_act():
             return
-        if now > self.until and not self._is_fresh(now):
+        if now > self.valid_until and not self._is_fresh(now):
             return
         self._resumed_at = None
-        self.until = now + _MAX_GAP_SECONDS
+        self.valid_until = now + _MAX_GAP_SECONDS
 
     def _is_fresh(self, now: float) -> bool:
         """Return whether the view was renewed since the process resumed."""
--- a/siskinbank/peers/freshness.py
+++ b/siskinbank/peers/freshness.py
@@ -88,7 +88,7 @@
         self._unanswered_seconds = 0
         if self._isolated_at is not None:
             self._isolated_at = None
-            self._log.write(events.HEARD)
+            self._log.write(events.ISOLATION_ENDED)
 
     def tick(self) -> None:
         """Count the running time without a reply; call about once a second."""
--- a/siskinbank/sidecar/context.py
+++ b/siskinbank/sidecar/context.py
@@ -24,8 +24,8 @@
 _EVENT_BY_VERDICT = {
     Verdict.cold: events.UPSTREAM_COLD,
     Verdict.unreachable: events.UPSTREAM_UNREACHABLE,
-    Verdict.back: events.UPSTREAM_BACK,
-    Verdict.distrusted: events.REPORT_DISTRUSTED,
+    Verdict.back: events.UPSTREAM_RECOVERED,
+    Verdict.distrusted: events.REPORT_IGNORED,
 }
 
 
--- a/siskinbank/sidecar/packets.py
+++ b/siskinbank/sidecar/packets.py
@@ -6,7 +6,7 @@
 from siskinbank.config.site import Address, Service
 from siskinbank.kernel.incarnation import make_incarnation, same_host
 from siskinbank.kernel.reasons import Drop, GivenUp
-from siskinbank.kernel.suspension import SuspensionGuard
+from siskinbank.kernel.suspension import SuspensionDetector
 from siskinbank.sidecar.announcer import Announcer, read_numbers
 from siskinbank.sidecar.context import SidecarContext
 from siskinbank.sidecar.deflection import choose_candidates, try_admit
@@ -71,7 +71,7 @@
         self._delivered = self._metrics.cell('packets_delivered')
         self._timers = context.process.timers
         self._clock = self._timers.clock
-        self._suspension = SuspensionGuard(
+        self._suspension_detector = SuspensionDetector(
             self._timers,
             lambda: context.view.list_age,
             lambda: context.view.fresh,
@@ -120,7 +120,7 @@
             return False
         owned = self.flows.get(owned_packet[0])
         now = self._clock()
-        if owned is None or now > self._suspension.until:
+        if owned is None or now > self._suspension_detector.valid_until:
             return False
         owned.last_seen = now
         if self._accounting.may_deliver(owned_packet[0], owned, closing=False):
@@ -133,7 +133,7 @@
         if packet is None:
             self._metrics.count(Drop.malformed)
             return
-        if not self._suspension.awake:
+        if not self._suspension_detector.is_valid:
             self._metrics.count(Drop.stale_view)
             return
         if not _is_for_service(envelope, packet, self._context.service):
--- a/siskinbank/wire/keyfile.py
+++ b/siskinbank/wire/keyfile.py
@@ -47,7 +47,7 @@
         nonlocal last_fault
         fault = _reload_keys(process, ring, source)
         if fault and fault != last_fault:
-            process.log.write(events.KEYS_BAD, fault=fault)
+            process.log.write(events.KEYS_UNREADABLE, fault=fault)
         last_fault = fault
 
     process.timers.every(_READ_INTERVAL_SECONDS, reload_keys, _JITTER_SHARE)
@@ -63,7 +63,7 @@
     except ValueError as error:
         return str(error)
     fingerprints = ' '.join(key.fingerprint for key in keys)
-    process.log.write(events.KEYS_READ, file=source, keys=fingerprints)
+    process.log.write(events.KEYS_RELOADED, file=source, keys=fingerprints)
     return ''
 
 
--- a/tests/kernel/test_events.py
+++ b/tests/kernel/test_events.py
@@ -41,13 +41,17 @@
     def test_json(self) -> None:
         """A JSON line contains the event number and the fields."""
         events.set_up_logging('INFO', 'json', self.written)
-        events.EventLog('entry', 'e1').write(events.ADOPTED, generation=7)
+        events.EventLog('entry', 'e1').write(
+            events.CONFIGURATION_ADOPTED, generation=7
+        )
         line = json.loads(self.written.getvalue())
         self.assertEqual((line['event'], line['generation']), (200, 7))
 
     def test_text(self) -> None:
         """A text line contains the event number and the fields."""
         events.set_up_logging('INFO', 'text', self.written)
-        events.EventLog('entry', 'e1').write(events.ADOPTED, generation=7)
+        events.EventLog('entry', 'e1').write(
+            events.CONFIGURATION_ADOPTED, generation=7
+        )
         self.assertIn('E200 [entry e1]', self.written.getvalue())
         self.assertIn('generation=7', self.written.getvalue())
--- a/tests/relay/test_lean.py
+++ b/tests/relay/test_lean.py
@@ -10,7 +10,7 @@
 from siskinbank.relay.log import Log
 from siskinbank.relay.loop import Loop
 from siskinbank.relay.meters import Meters
-from tools.start_cost import command, cost
+from tools.start_cost import command, processor_time_s
 
 # Importing any of these takes longer than all modules of entry and sidecar.
 HEAVY = {
@@ -56,7 +56,10 @@
         for name in ('entry', 'sidecar'):
             code = f'import siskinbank.relay.main, siskinbank.relay.{name}'
             with self.subTest(name=name):
-                self.assertLess(cost(code) - cost('pass'), _MAX_START_S)
+                self.assertLess(
+                    processor_time_s(code) - processor_time_s('pass'),
+                    _MAX_START_S,
+                )
 
 
 class TestLog(unittest.TestCase):
--- a/tests/tools/test_start_cost.py
+++ b/tests/tools/test_start_cost.py
@@ -4,7 +4,7 @@
 
 from tools.start_cost import (
     ImportTime,
-    cost,
+    processor_time_s,
     time_to_first_request_s,
     parse_import_times,
 )
@@ -29,7 +29,9 @@
 
     def test_cost(self) -> None:
         """An import takes more processor time than none."""
-        self.assertGreater(cost('import asyncio'), cost('pass'))
+        self.assertGreater(
+            processor_time_s('import asyncio'), processor_time_s('pass')
+        )
 
     async def test_first_request(self) -> None:
         """Both programs serve again; the fleet limits the waiting time."""
--- a/tools/start_cost.py
+++ b/tools/start_cost.py
@@ -21,7 +21,7 @@
 __all__ = (
     'ImportTime',
     'command',
-    'cost',
+    'processor_time_s',
     'time_to_first_request_s',
     'parse_import_times',
 )
@@ -52,7 +52,7 @@
     return [sys.executable, '-S', '-E', *options, '-c', path]
 
 
-def cost(code: str) -> float:
+def processor_time_s(code: str) -> float:
     """Return the processor time of an interpreter running code, in seconds.
 
     Args:
@@ -117,8 +117,8 @@
         text=True,
         check=True,
     )
-    bare = cost('pass')
-    total = cost(code)
+    bare = processor_time_s('pass')
+    total = processor_time_s(code)
     lines = [f'bare interpreter {bare * _MS:.1f} ms']
     beyond_ms = (total - bare) * _MS
     lines.append(f'{role} beyond it {beyond_ms:.1f} ms')
