--- a/siskinbank/beliefs/configuration.py
+++ b/siskinbank/beliefs/configuration.py
@@ -5,8 +5,8 @@
 from zlib import compress, decompress
 from zlib import error as CompressionError
 
-from siskinbank.platform.documents import Unreadable
-from siskinbank.platform.records import Route, Warmth, decode_configuration
+from siskinbank.platform.documents import DocumentError
+from siskinbank.platform.records import Route, WarmUp, decode_configuration
 
 __all__ = ('Configuration',)
 
@@ -24,13 +24,13 @@
         warmths: cold start limits of the services, by name.
     """
 
-    __slots__ = ('_packed', '_raw', 'routes', 'version', 'warmths')
+    __slots__ = ('_packed', '_raw', 'routes', 'version', 'warm_ups')
 
     def __init__(self) -> None:
         """Create an empty configuration with version 0."""
         self.version = 0
         self.routes: dict[bytes, Route] = {}
-        self.warmths: dict[str, Warmth] = {}
+        self.warm_ups: dict[str, WarmUp] = {}
         self._raw = b''
         self._packed = b''
 
@@ -50,12 +50,12 @@
         Raises:
             Unreadable: it is incomplete; the one in force stays.
         """
-        version, routes, warmths = decode_configuration(raw)
+        version, routes, warm_ups = decode_configuration(raw)
         if version <= self.version:
             return False
         self.version = version
         self.routes = routes
-        self.warmths = warmths
+        self.warm_ups = warm_ups
         self._raw = raw
         self._packed = b''
         return True
@@ -69,5 +69,5 @@
         try:
             raw = decompress(packed)
         except CompressionError as error:
-            raise Unreadable(str(error)) from None
+            raise DocumentError(str(error)) from None
         return self.offer(raw)
--- a/siskinbank/directory/member_status.py
+++ b/siskinbank/directory/member_status.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from siskinbank.wire.checks import is_name, is_number
+from siskinbank.wire.checks import is_valid_name, is_number_below
 
 __all__ = (
     'MemberState',
@@ -49,9 +49,9 @@
     if not isinstance(parts, list) or len(parts) != _FIELDS:
         return None
     epoch, state, name = parts
-    if not is_number(epoch, _MAX_EPOCH) or not is_name(name):
+    if not is_number_below(epoch, _MAX_EPOCH) or not is_valid_name(name):
         return None
-    if not is_number(state, MemberState.silent + 1):
+    if not is_number_below(state, MemberState.silent + 1):
         return None
     return MemberStatus(epoch, state, name)
 
--- a/siskinbank/directory/roster.py
+++ b/siskinbank/directory/roster.py
@@ -18,7 +18,7 @@
 from siskinbank.config.site import Address
 from siskinbank.directory.live import Instance, InstanceState, Role
 from siskinbank.util import digest64
-from siskinbank.wire.checks import is_name, is_number
+from siskinbank.wire.checks import is_valid_name, is_number_below
 from siskinbank.wire.packets import pack_address, unpack_address
 
 __all__ = (
@@ -114,9 +114,13 @@
     if not isinstance(parts, list) or len(parts) != _FIELDS:
         return None
     version, listing, name, role, centre, packed = parts
-    if not (is_number(version, _VERSION_LIMIT) and is_number(listing, 3)):
+    if not (
+        is_number_below(version, _VERSION_LIMIT) and is_number_below(listing, 3)
+    ):
         return None
-    if not (is_name(name) and is_name(centre) and is_name(role)):
+    if not (
+        is_valid_name(name) and is_valid_name(centre) and is_valid_name(role)
+    ):
         return None
     if role not in _ROLES:
         return None
--- a/siskinbank/entry/calls.py
+++ b/siskinbank/entry/calls.py
@@ -10,7 +10,7 @@
 from siskinbank.kernel.clock import Clock
 from siskinbank.kernel.outcomes import NotRun
 from siskinbank.kernel.reasons import Refusal
-from siskinbank.wire.bodies import CHUNK_BYTES, START_BYTES
+from siskinbank.wire.bodies import CHUNK_BYTES, INITIAL_CREDIT_BYTES
 from siskinbank.wire.headers import (
     DEADLINE_HEADER,
     IDEMPOTENT_HEADER,
@@ -58,7 +58,7 @@
 
         A small body is read whole, so that reading it occupies no host.
         """
-        while not self._complete and self._size < START_BYTES:
+        while not self._complete and self._size < INITIAL_CREDIT_BYTES:
             await self._read_more()
 
     async def part_at(self, position: int) -> bytes:
--- a/siskinbank/entry/exchanges.py
+++ b/siskinbank/entry/exchanges.py
@@ -9,7 +9,7 @@
 from siskinbank.entry.links import Exchange, LinkLostError, RequestLink
 from siskinbank.kernel.outcomes import Answered, NotRun, Unknown
 from siskinbank.kernel.reasons import Doubt, Refusal
-from siskinbank.wire.bodies import BodyCutError, send_body
+from siskinbank.wire.bodies import BodyTruncatedError, send_body
 from siskinbank.wire.headers import OUTCOME_HEADER, header_problem
 from siskinbank.wire.request_messages import (
     AnswerHead,
@@ -179,7 +179,7 @@
         async with asyncio.timeout(time_left):
             await response.prepare(call.request)
             await _forward_body(exchange, response, head)
-    except (BodyCutError, TimeoutError, OSError):
+    except (BodyTruncatedError, TimeoutError, OSError):
         call.abort_connection()
         return False
     return True
@@ -195,5 +195,5 @@
         size += len(part)
         await response.write(part)
     if size and head.length not in {size, -1}:
-        raise BodyCutError(f'received {size} of {head.length} bytes')
+        raise BodyTruncatedError(f'received {size} of {head.length} bytes')
     await response.write_eof()
--- a/siskinbank/entry/flow_searches.py
+++ b/siskinbank/entry/flow_searches.py
@@ -161,7 +161,7 @@
 
 def may_still_answer(
     silent_s: float,
-    repeatable: bool,
+    idempotent: bool,
     interval_s: float,
 ) -> bool:
     """Return whether a search waits for a host that has not answered.
@@ -176,5 +176,5 @@
         interval_s: the sidecar's usual interval between status updates in
             seconds; it is longer with many entries.
     """
-    limit_s = _SILENT_REPEATABLE_S if repeatable else _SILENT_ONCE_S
+    limit_s = _SILENT_REPEATABLE_S if idempotent else _SILENT_ONCE_S
     return silent_s < max(limit_s, interval_s * _MISSED_UPDATES)
--- a/siskinbank/entry/links.py
+++ b/siskinbank/entry/links.py
@@ -11,7 +11,7 @@
 from siskinbank.kernel.process import ProcessContext
 from siskinbank.kernel.reasons import Drop, Refusal
 from siskinbank.peers.connect import PeerStreams
-from siskinbank.wire.bodies import START_BYTES, BodyReader, SendWindow
+from siskinbank.wire.bodies import INITIAL_CREDIT_BYTES, BodyReader, SendWindow
 from siskinbank.wire.messages import Message, MessageError
 from siskinbank.wire.request_messages import (
     AnswerHead,
@@ -49,7 +49,7 @@
     def __init__(self, link: 'RequestLink', number: int) -> None:
         """Initialize for messages with ``number``."""
         self.number = number
-        self.window = SendWindow(START_BYTES)
+        self.window = SendWindow(INITIAL_CREDIT_BYTES)
         self.body = BodyReader(number, link.post)
         self.reply: asyncio.Future[Reply] = asyncio.Future()
         self._link = link
@@ -59,7 +59,7 @@
         if isinstance(received, BodyPart):
             return self._handle_part(received)
         if isinstance(received, Credit):
-            self.window.give(received.size)
+            self.window.add_credit(received.size)
             return None
         return self._handle_reply(received)
 
--- a/siskinbank/ingress/fou.py
+++ b/siskinbank/ingress/fou.py
@@ -15,7 +15,7 @@
 from siskinbank.kernel.reasons import Drop
 from siskinbank.kernel.suspension import SuspensionDetector
 from siskinbank.peers.datagrams import open_udp
-from siskinbank.wire.envelopes import NAMED, UNCACHED, Envelope
+from siskinbank.wire.envelopes import OWNER_NAMED, UNCACHED, Envelope
 from siskinbank.wire.flow_messages import Owner
 from siskinbank.wire.messages import Message
 from siskinbank.wire.packets import (
@@ -24,7 +24,7 @@
     pack_address,
     parse_inner,
     plain_flow,
-    read_ends,
+    flow_target,
     unpack_address,
 )
 
@@ -88,7 +88,7 @@
         """Cache the owner of a flow that a sidecar announced."""
         if not isinstance(received, Owner):
             return
-        service = self._services.get(read_ends(received.flow))
+        service = self._services.get(flow_target(received.flow))
         if service is None or not self._router.allows(
             received.address,
             received.generation,
@@ -182,7 +182,7 @@
         route = self._routes_by_owner.get(key)
         receiver = self._receiver_at(owner.address, owner.generation)
         if route is None:
-            head = self._envelope(service, b'', NAMED, (receiver.packed,))
+            head = self._envelope(service, b'', OWNER_NAMED, (receiver.packed,))
             head.incarnation = owner.incarnation
             route = Route(receiver, head.pack_head())
             if len(self._routes_by_owner) >= _MAX_OWNER_ROUTES:
--- a/siskinbank/lab/cost.py
+++ b/siskinbank/lab/cost.py
@@ -22,7 +22,7 @@
 from siskinbank.lab.standins.packets import ACK, SYN, Flow, make_packet
 from siskinbank.sidecar.flows import Pointer
 from siskinbank.util import digest64
-from siskinbank.wire.envelopes import NAMED, UNCACHED, Envelope
+from siskinbank.wire.envelopes import OWNER_NAMED, UNCACHED, Envelope
 from siskinbank.wire.flow_messages import Owner
 from siskinbank.wire.packets import flow_number, pack_address, parse_inner
 
@@ -171,7 +171,7 @@
 
 
 def _bodies(sidecar: PoolSidecar, packets: list[bytes]) -> list[bytes]:
-    return [_seal(sidecar, NAMED, raw) for raw in packets]
+    return [_seal(sidecar, OWNER_NAMED, raw) for raw in packets]
 
 
 def _offers(sidecar: PoolSidecar, packets: list[bytes]) -> list[bytes]:
--- a/siskinbank/lab/rig/client.py
+++ b/siskinbank/lab/rig/client.py
@@ -77,7 +77,7 @@
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
         """Pass a packet to its flow."""
         packet = Packet.read(data)
-        if not packet.whole and not packet.flags & RST:
+        if not packet.has_valid_checksum and not packet.flags & RST:
             self.broken += 1
             return
         flow = self._flows.get(packet.target[1])
--- a/siskinbank/lab/rig/fleet.py
+++ b/siskinbank/lab/rig/fleet.py
@@ -19,7 +19,11 @@
     encode_configuration,
 )
 from siskinbank.platform.settings import SETTINGS_VARIABLE
-from siskinbank.platform.store import CONFIGURATION_KEY, EVACUATIONS, HOSTS
+from siskinbank.platform.store import (
+    CONFIGURATION_KEY,
+    EVACUATIONS_PREFIX,
+    HOSTS_PREFIX,
+)
 
 __all__ = ('TARGET', 'Fleet', 'Program')
 
@@ -165,11 +169,11 @@
             self.data_centre(index),
             **changes,  # type: ignore[arg-type]
         )
-        await self.store.put(f'{HOSTS}{host.name}', entry.encode())
+        await self.store.put(f'{HOSTS_PREFIX}{host.name}', entry.encode())
 
     async def take_out(self, data_centre: str) -> None:
         """Take a data centre out of service."""
-        await self.store.put(f'{EVACUATIONS}{data_centre}', b'{}')
+        await self.store.put(f'{EVACUATIONS_PREFIX}{data_centre}', b'{}')
 
     def data_centre(self, index: int) -> str:
         """Return the data centre of a host or entry."""
--- a/siskinbank/lab/rig/host.py
+++ b/siskinbank/lab/rig/host.py
@@ -69,7 +69,7 @@
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
         """Accept, answer or bounce a packet."""
         packet = Packet.read(data)
-        if not packet.whole:
+        if not packet.has_valid_checksum:
             self.broken += 1
             return
         key = (packet.source, packet.target)
--- a/siskinbank/peers/ages.py
+++ b/siskinbank/peers/ages.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from siskinbank.wire.checks import is_name, is_number
+from siskinbank.wire.checks import is_valid_name, is_number_below
 
 __all__ = ('DataCentreAges',)
 
@@ -108,6 +108,8 @@
     if not isinstance(part, list) or len(part) != _FIELDS:
         return False
     centre, received, read = part
-    if not is_number(received, _AGE_LIMIT) or not is_number(read, _AGE_LIMIT):
+    if not is_number_below(received, _AGE_LIMIT) or not is_number_below(
+        read, _AGE_LIMIT
+    ):
         return False
-    return is_name(centre)
+    return is_valid_name(centre)
--- a/siskinbank/peers/document_fetch.py
+++ b/siskinbank/peers/document_fetch.py
@@ -11,7 +11,7 @@
 from siskinbank.peers.timing import TimerSource
 from siskinbank.peers.transfer import PieceCollector, Send, serve_ask
 from siskinbank.directory.store import DocumentStore
-from siskinbank.wire.gossip import Ask, Piece
+from siskinbank.wire.gossip import PieceRequest, Piece
 
 __all__ = ('DocumentFetch',)
 
@@ -78,7 +78,7 @@
         if generation and key > max(self._store.in_force, self._store.refused):
             self._add_source(key, sender)
 
-    def receive_ask(self, request: Ask, sender: Address) -> None:
+    def receive_ask(self, request: PieceRequest, sender: Address) -> None:
         """Send the pieces that a peer asks for."""
         if request.first >= 0:
             serve_ask(
--- a/siskinbank/peers/gossip.py
+++ b/siskinbank/peers/gossip.py
@@ -38,7 +38,7 @@
     FRESH,
     REPLY_WANTED,
     Announce,
-    Ask,
+    PieceRequest,
     Bucket,
     Buckets,
     Piece,
@@ -173,7 +173,7 @@
     ) -> None:
         """Subscribe to all gossip messages."""
         subscribe(Announce, self._receive_announce)
-        subscribe(Ask, self._document_fetch.receive_ask)
+        subscribe(PieceRequest, self._document_fetch.receive_ask)
         subscribe(Piece, self._document_fetch.receive_piece)
         subscribe(Buckets, self._receive_buckets)
         subscribe(Bucket, self._receive_bucket)
--- a/siskinbank/peers/lagging.py
+++ b/siskinbank/peers/lagging.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from siskinbank.wire.checks import is_name, is_number
+from siskinbank.wire.checks import is_valid_name, is_number_below
 
 __all__ = ('LaggingProcess', 'LaggingProcesses')
 
@@ -90,6 +90,6 @@
     if not isinstance(part, list) or len(part) != _FIELDS:
         return False
     name, generation, age = part
-    if not is_number(generation, _NUMBER_LIMIT):
+    if not is_number_below(generation, _NUMBER_LIMIT):
         return False
-    return is_name(name) and is_number(age, _NUMBER_LIMIT)
+    return is_valid_name(name) and is_number_below(age, _NUMBER_LIMIT)
--- a/siskinbank/peers/transfer.py
+++ b/siskinbank/peers/transfer.py
@@ -9,8 +9,8 @@
 from siskinbank.kernel.reasons import Ignored
 from siskinbank.peers.rate import TokenBucket
 from siskinbank.directory.store import MAX_VALUE_BYTES, DocumentStore
-from siskinbank.wire.checks import is_number
-from siskinbank.wire.gossip import Ask, Piece
+from siskinbank.wire.checks import is_number_below
+from siskinbank.wire.gossip import PieceRequest, Piece
 from siskinbank.wire.messages import Message
 
 __all__ = ('PIECE_BYTES', 'PieceCollector', 'serve_ask')
@@ -26,7 +26,7 @@
 
 
 def serve_ask(
-    request: Ask,
+    request: PieceRequest,
     requester: Address,
     store: DocumentStore,
     send: Send,
@@ -94,10 +94,10 @@
             partial = self._partials.get(digest)
             if partial is None:
                 self._partials[digest] = _PartialDocument(now)
-                self._send(Ask(digest, 0), source)
+                self._send(PieceRequest(digest, 0), source)
             elif now - partial.last_activity_at >= _RETRY_SECONDS:
                 partial.last_activity_at = now
-                self._send(Ask(digest, partial.first_missing), source)
+                self._send(PieceRequest(digest, partial.first_missing), source)
 
     def add_piece(self, piece: Piece, sender: Address) -> bool:
         """Add a piece; return whether this completed a document."""
@@ -122,13 +122,15 @@
     ) -> None:
         """Request the next burst without waiting for the timer."""
         if (piece.index + 1) % _PIECES_PER_REQUEST == 0:
-            self._send(Ask(piece.digest, partial.first_missing), sender)
+            self._send(
+                PieceRequest(piece.digest, partial.first_missing), sender
+            )
 
 
 def _is_valid(piece: Piece, partial: _PartialDocument) -> bool:
-    if not is_number(piece.total, _MAX_PIECES + 1):
+    if not is_number_below(piece.total, _MAX_PIECES + 1):
         return False
-    if not is_number(piece.index, piece.total):
+    if not is_number_below(piece.index, piece.total):
         return False
     if len(piece.content) > PIECE_BYTES:
         return False
--- a/siskinbank/platform/documents.py
+++ b/siskinbank/platform/documents.py
@@ -8,7 +8,7 @@
 from _json import make_scanner
 
 __all__ = (
-    'Unreadable',
+    'DocumentError',
     'decode',
     'integer_field',
     'number_field',
@@ -20,7 +20,7 @@
 _MAX_NUMBER = 1 << 62
 
 
-class Unreadable(ValueError):
+class DocumentError(ValueError):
     """A document or a field is malformed."""
 
 
@@ -47,9 +47,9 @@
     try:
         document, _ = _scan(raw.decode().strip(), 0)
     except (ValueError, StopIteration, RecursionError) as error:
-        raise Unreadable(f'invalid JSON: {error}') from None
+        raise DocumentError(f'invalid JSON: {error}') from None
     if not isinstance(document, dict):
-        raise Unreadable('document is not a JSON object')
+        raise DocumentError('document is not a JSON object')
     return document
 
 
@@ -61,7 +61,7 @@
     """
     value = document.get(name)
     if not isinstance(value, str):
-        raise Unreadable(f'{name} is not text')
+        raise DocumentError(f'{name} is not text')
     return value
 
 
@@ -73,9 +73,9 @@
     """
     value = document.get(name)
     if not isinstance(value, int) or isinstance(value, bool):
-        raise Unreadable(f'{name} is not a whole number')
+        raise DocumentError(f'{name} is not a whole number')
     if not 0 <= value <= _MAX_NUMBER:
-        raise Unreadable(f'{name} is out of range')
+        raise DocumentError(f'{name} is out of range')
     return value
 
 
@@ -89,7 +89,7 @@
     """
     value = document.get(name, default)
     if not isinstance(value, int | float) or isinstance(value, bool):
-        raise Unreadable(f'{name} is not a number')
+        raise DocumentError(f'{name} is not a number')
     if not 0 <= value <= _MAX_NUMBER:
-        raise Unreadable(f'{name} is out of range')
+        raise DocumentError(f'{name} is out of range')
     return float(value)
--- a/siskinbank/platform/encoding.py
+++ b/siskinbank/platform/encoding.py
@@ -62,7 +62,7 @@
         )
 
     @property
-    def whole(self) -> bool:
+    def has_valid_checksum(self) -> bool:
         """Whether the checksum matches the packet."""
         return self.checksum == self._compute_checksum()
 
@@ -130,7 +130,7 @@
     service: str
     address: tuple[str, int]
     limit_s: float = 2
-    repeatable: bool = True
+    idempotent: bool = True
 
 
 def encode_configuration(
@@ -278,7 +278,7 @@
         'Name': f'r-{port}',
         'Host': ip,
         'Prefix': f'/{port}/',
-        'Kind': 'safe' if route.repeatable else 'unsafe',
+        'Kind': 'safe' if route.idempotent else 'unsafe',
         'TimeoutMs': int(route.limit_s * _MS),
         'Service': route.service,
     }
--- a/siskinbank/platform/packets.py
+++ b/siskinbank/platform/packets.py
@@ -15,16 +15,16 @@
     'MAX_PACKET_BYTES',
     'RST',
     'SYN',
-    'answer_key',
+    'reverse_flow_key',
     'begins_request',
     'client_address',
-    'describe',
+    'describe_flow',
     'flags_of',
-    'not_bounced',
-    'problem_of',
+    'clear_bounced',
+    'packet_problem',
     'read_answer',
     'request_id',
-    'reset_for',
+    'build_reset',
     'route_key',
     'sequence_numbers',
 )
@@ -69,7 +69,7 @@
 _HEADER = Struct('!IIIB4s4sHHIH')
 
 
-def problem_of(packet: bytes) -> str | None:
+def packet_problem(packet: bytes) -> str | None:
     """Return why a client's packet is invalid, or None if it is valid.
 
     Args:
@@ -94,13 +94,13 @@
     return packet[_FLAGS_OFFSET]
 
 
-def not_bounced(packet: bytes) -> bytes:
+def clear_bounced(packet: bytes) -> bytes:
     """Return a packet without the bounced flag, as its client sent it."""
     flags = bytes((packet[_FLAGS_OFFSET] & ~BOUNCED,))
     return packet[:_FLAGS_OFFSET] + flags + packet[_FLAGS_OFFSET + 1 :]
 
 
-def answer_key(packet: bytes) -> bytes:
+def reverse_flow_key(packet: bytes) -> bytes:
     """Return the flow key of a packet that a host sent."""
     return b''.join(
         (
@@ -168,7 +168,7 @@
     return Answer(status or '-', _NOT_EXECUTED not in packet)
 
 
-def reset_for(packet: bytes) -> bytes:
+def build_reset(packet: bytes) -> bytes:
     """Return the reset packet that ends the flow of a client's packet.
 
     Its sequence number is the number that the client acknowledged last, since
@@ -191,7 +191,7 @@
     )
 
 
-def describe(key: bytes) -> str:
+def describe_flow(key: bytes) -> str:
     """Return a flow key as text for logs: client address, service address."""
     client_port, service_port = _PORTS.unpack_from(key, _PORTS_OFFSET_IN_KEY)
     client = inet_ntoa(key[:4])
--- a/siskinbank/platform/records.py
+++ b/siskinbank/platform/records.py
@@ -5,7 +5,7 @@
 from _socket import AF_INET, inet_pton
 
 from siskinbank.platform.documents import (
-    Unreadable,
+    DocumentError,
     decode,
     integer_field,
     number_field,
@@ -15,7 +15,7 @@
 __all__ = (
     'HostRecord',
     'Route',
-    'Warmth',
+    'WarmUp',
     'decode_configuration',
     'decode_host',
 )
@@ -67,7 +67,7 @@
         self.slots = min(max(1, integer_field(document, 'Slots')), _MAX_SLOTS)
         state = text_field(document, 'State')
         if state not in {'ready', 'draining'}:
-            raise Unreadable(
+            raise DocumentError(
                 f'State {state!r} is unknown, expected ready or draining'
             )
         self.draining = state == 'draining'
@@ -90,18 +90,18 @@
             client.
     """
 
-    __slots__ = ('target_latency_s', 'limit_s', 'repeatable', 'shares')
+    __slots__ = ('target_latency_s', 'limit_s', 'idempotent', 'shares')
 
     def __init__(
         self,
         shares: tuple[tuple[str, float], ...],
-        repeatable: bool,
+        idempotent: bool,
         target_latency_s: float,
         limit_s: float,
     ) -> None:
         """Create a route."""
         self.shares = shares
-        self.repeatable = repeatable
+        self.idempotent = idempotent
         self.target_latency_s = target_latency_s
         self.limit_s = limit_s
 
@@ -121,7 +121,7 @@
         return self.shares[-1][0]
 
 
-class Warmth:
+class WarmUp:
     """Warm-up settings of the hosts of one service.
 
     Attributes:
@@ -129,11 +129,11 @@
         cold_s: duration of the warm-up after a start, in seconds.
     """
 
-    __slots__ = ('cold_s', 'per_s')
+    __slots__ = ('cold_s', 'cold_requests_per_s')
 
-    def __init__(self, per_s: float, cold_s: float) -> None:
+    def __init__(self, cold_requests_per_s: float, cold_s: float) -> None:
         """Create warm-up settings."""
-        self.per_s = per_s
+        self.cold_requests_per_s = cold_requests_per_s
         self.cold_s = cold_s
 
 
@@ -148,7 +148,7 @@
 
 def decode_configuration(
     raw: bytes,
-) -> tuple[int, dict[bytes, Route], dict[str, Warmth]]:
+) -> tuple[int, dict[bytes, Route], dict[str, WarmUp]]:
     """Decode the operator's configuration.
 
     Returns:
@@ -175,10 +175,12 @@
 ) -> list[dict[str, object]]:
     rows = document.get(name)
     if not isinstance(rows, list):
-        raise Unreadable(f'{name} is not a list')
+        raise DocumentError(f'{name} is not a list')
     for row in rows:
         if not isinstance(row, dict):
-            raise Unreadable(f'{name} holds an element that is not an object')
+            raise DocumentError(
+                f'{name} holds an element that is not an object'
+            )
     return rows
 
 
@@ -186,7 +188,7 @@
     # `Host` is the service's address, `Prefix` its port between slashes.
     port = text_field(document, 'Prefix').strip('/')
     if not port.isdigit() or int(port) > _MAX_PORT:
-        raise Unreadable(f'Prefix {port!r} holds no port')
+        raise DocumentError(f'Prefix {port!r} holds no port')
     address = _pack_ip(text_field(document, 'Host'))
     timeout_ms = number_field(document, 'TimeoutMs', _DEFAULT_TIMEOUT_MS)
     route = Route(
@@ -209,8 +211,8 @@
     return tuple((service, weight) for service, weight in pairs if weight > 0)
 
 
-def _parse_warm_up(document: dict[str, object]) -> tuple[str, Warmth]:
-    warm_up = Warmth(
+def _parse_warm_up(document: dict[str, object]) -> tuple[str, WarmUp]:
+    warm_up = WarmUp(
         number_field(document, 'WarmupPerS', 0),
         number_field(document, 'WarmupS', 0),
     )
@@ -220,7 +222,7 @@
 def _host_ip(address: str) -> str:
     ip, _, port = address.rpartition(':')
     if not port.isdigit():
-        raise Unreadable(f'Address {address!r} has no port')
+        raise DocumentError(f'Address {address!r} has no port')
     _pack_ip(ip)
     return ip
 
@@ -229,4 +231,4 @@
     try:
         return inet_pton(AF_INET, ip)
     except OSError:
-        raise Unreadable(f'{ip!r} is not an IPv4 address') from None
+        raise DocumentError(f'{ip!r} is not an IPv4 address') from None
--- a/siskinbank/platform/settings.py
+++ b/siskinbank/platform/settings.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from siskinbank.platform.documents import Unreadable, decode, text_field
+from siskinbank.platform.documents import DocumentError, decode, text_field
 
 __all__ = ('READY_PATH', 'SETTINGS_VARIABLE', 'Settings', 'read_settings')
 
@@ -36,7 +36,7 @@
         'data_centre',
         'heartbeat_s',
         'host_address',
-        'host_output',
+        'outbound_address',
         'instance',
         'ip',
         'packet_port',
@@ -62,7 +62,7 @@
         self.packet_port = _parse_address(text_field(listen, 'DatagramAddr'))[1]
         self.ready_address = _parse_address(text_field(listen, 'ReadyAddr'))
         self.peer_port = _first_port(document)
-        self.host_output = _optional_address_field(listen, 'outbound')
+        self.outbound_address = _optional_address_field(listen, 'outbound')
         # `app` is the address of the host of this sidecar.
         self.host_address = _optional_address_field(document, 'app')
         service = document.get('Service')
@@ -91,14 +91,14 @@
 def _table_field(document: dict[str, object], name: str) -> dict[str, object]:
     value = document.get(name)
     if not isinstance(value, dict):
-        raise Unreadable(f'{name} is not an object')
+        raise DocumentError(f'{name} is not an object')
     return value
 
 
 def _parse_address(text: str) -> tuple[str, int]:
     ip, _, port = text.rpartition(':')
     if not ip or not port.isdigit():
-        raise Unreadable(f'{text!r} is not an address with a port')
+        raise DocumentError(f'{text!r} is not an address with a port')
     return ip, int(port)
 
 
@@ -113,7 +113,7 @@
 def _first_port(document: dict[str, object]) -> int:
     ports = document.get('InternalPortRange')
     if not isinstance(ports, list) or not isinstance(ports[0], int):
-        raise Unreadable('InternalPortRange is not a list of ports')
+        raise DocumentError('InternalPortRange is not a list of ports')
     return ports[0]
 
 
--- a/siskinbank/platform/store.py
+++ b/siskinbank/platform/store.py
@@ -6,7 +6,7 @@
 from binascii import a2b_base64
 
 from siskinbank.platform.documents import (
-    Unreadable,
+    DocumentError,
     decode,
     integer_field,
     text_field,
@@ -14,12 +14,12 @@
 
 __all__ = (
     'CONFIGURATION_KEY',
-    'EVACUATIONS',
-    'HOSTS',
-    'OPERATOR',
+    'EVACUATIONS_PREFIX',
+    'HOSTS_PREFIX',
+    'OPERATOR_PREFIX',
     'Change',
     'Page',
-    'changes_path',
+    'watch_path',
     'key_path',
     'page_path',
     'read_change',
@@ -28,11 +28,11 @@
 )
 
 # Key prefix of host entries; the host id follows.
-HOSTS = 'servers/'
+HOSTS_PREFIX = 'servers/'
 # Key prefix of all keys that the operator writes.
-OPERATOR = 'op/'
+OPERATOR_PREFIX = 'op/'
 CONFIGURATION_KEY = 'op/config'
-EVACUATIONS = 'op/evacuate/'
+EVACUATIONS_PREFIX = 'op/evacuate/'
 
 _SAFE = frozenset(
     'abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-._~/',
@@ -100,7 +100,7 @@
     return f'{path}&StaleOk=1' if stale else path
 
 
-def changes_path(prefix: str, revision: int, wait_s: float) -> str:
+def watch_path(prefix: str, revision: int, wait_s: float) -> str:
     """Return the request path that waits for changes after a revision."""
     wait_ms = int(wait_s * 1000)
     return (
@@ -146,7 +146,7 @@
 def _parse_changes(document: dict[str, object], name: str) -> list[Change]:
     rows = document.get(name)
     if not isinstance(rows, list):
-        raise Unreadable(f'{name} is not a list')
+        raise DocumentError(f'{name} is not a list')
     return [_parse_change(row) for row in rows if isinstance(row, dict)]
 
 
@@ -158,7 +158,7 @@
     try:
         content = a2b_base64(text_field(row, 'Value'), strict_mode=True)
     except Base64Error as error:
-        raise Unreadable(f'{key} holds invalid base64: {error}') from None
+        raise DocumentError(f'{key} holds invalid base64: {error}') from None
     return Change(key, content, revision)
 
 
--- a/siskinbank/relay/entry.py
+++ b/siskinbank/relay/entry.py
@@ -20,9 +20,9 @@
     MAX_PACKET_BYTES,
     RST,
     SYN,
-    describe,
+    describe_flow,
     flags_of,
-    problem_of,
+    packet_problem,
     route_key,
     sequence_numbers,
 )
@@ -114,7 +114,7 @@
         read_datagrams(self._clients, MAX_PACKET_BYTES + 1, self._check_packet)
 
     def _check_packet(self, packet: bytes, address: tuple[str, int]) -> None:
-        problem = problem_of(packet)
+        problem = packet_problem(packet)
         if problem:
             self._node.meters.count(f'packets_refused_{problem}_total')
         else:
@@ -190,7 +190,7 @@
             flow.add_tried(first.ip)
         self._node.log(
             'flow.placed',
-            flow=describe(key),
+            flow=describe_flow(key),
             host=first.ip,
             age_ms=int((now - first.last_seen) * 1000),
             busy=first.status.busy,
@@ -226,7 +226,7 @@
             return
         self._node.log(
             'flow.refused',
-            flow=describe(packet[FLOW_KEY]),
+            flow=describe_flow(packet[FLOW_KEY]),
             reason='no-host',
             hosts=len(hosts),
             copy=copy,
@@ -318,7 +318,7 @@
         name = reasons.name_of(reason)
         self._node.log(
             'flow.refused',
-            flow=describe(key),
+            flow=describe_flow(key),
             host=ip,
             reason=name,
             tries=tries,
--- a/siskinbank/relay/follower.py
+++ b/siskinbank/relay/follower.py
@@ -7,15 +7,15 @@
     StoreAvailability,
     pause_after_failures_s,
 )
-from siskinbank.platform.documents import Unreadable
+from siskinbank.platform.documents import DocumentError
 from siskinbank.platform.records import HostRecord, decode_host
 from siskinbank.platform.store import (
     CONFIGURATION_KEY,
-    EVACUATIONS,
-    HOSTS,
-    OPERATOR,
+    EVACUATIONS_PREFIX,
+    HOSTS_PREFIX,
+    OPERATOR_PREFIX,
     Change,
-    changes_path,
+    watch_path,
     page_path,
     read_page,
     read_watch,
@@ -136,7 +136,7 @@
         before = self.configuration.version
         try:
             adopted = self.configuration.offer(raw)
-        except Unreadable as error:
+        except DocumentError as error:
             self._log_refusal('configuration.refused', source, error)
             return False
         if adopted:
@@ -163,7 +163,7 @@
     def _list_hosts(self, after: str) -> None:
         self._node.meters.count('store_calls_total')
         self._hosts_connection.client.get(
-            page_path(HOSTS, after),
+            page_path(HOSTS_PREFIX, after),
             _REQUEST_TIMEOUT_S,
             self._on_hosts_page,
         )
@@ -174,7 +174,7 @@
             return
         try:
             page = read_page(body)
-        except Unreadable as error:
+        except DocumentError as error:
             self._log_refusal('record.refused', 'hosts', error)
             return
         self._listed_changes.extend(page.changes)
@@ -196,7 +196,7 @@
         for change in changes:
             try:
                 record = decode_host(change.content or b'')
-            except Unreadable as error:
+            except DocumentError as error:
                 # Not a host record: written by another client of the store.
                 self._log_refusal('record.refused', change.key, error)
                 continue
@@ -211,10 +211,14 @@
         client = self._operator_connection.client
         if not self._has_operator_listing:
             client.get(
-                page_path(OPERATOR), _REQUEST_TIMEOUT_S, self._on_operator_page
+                page_path(OPERATOR_PREFIX),
+                _REQUEST_TIMEOUT_S,
+                self._on_operator_page,
             )
             return
-        path = changes_path(OPERATOR, self.operator_revision, _WATCH_DURATION_S)
+        path = watch_path(
+            OPERATOR_PREFIX, self.operator_revision, _WATCH_DURATION_S
+        )
         client.get(
             path,
             _WATCH_DURATION_S + _REQUEST_TIMEOUT_S,
@@ -228,14 +232,14 @@
             return
         try:
             page = read_page(body)
-        except Unreadable as error:
+        except DocumentError as error:
             self._log_refusal('record.refused', 'operator', error)
             return
         self._has_operator_listing = True
         self.operator_revision = page.revision
         present = {change.key for change in page.changes}
         self._set_evacuated(
-            key for key in present if key.startswith(EVACUATIONS)
+            key for key in present if key.startswith(EVACUATIONS_PREFIX)
         )
         self._apply_operator_changes(page.changes)
         self.check()
@@ -254,7 +258,7 @@
             return
         try:
             page = read_watch(body)
-        except Unreadable as error:
+        except DocumentError as error:
             self._log_refusal('record.refused', 'operator', error)
             return
         # An empty response does not advance the revision: a watch may miss
@@ -268,11 +272,11 @@
 
     def _apply_operator_changes(self, changes: list[Change]) -> None:
         self.operator_seen = self._node.loop.now
-        evacuated = {EVACUATIONS + name for name in self.evacuated}
+        evacuated = {EVACUATIONS_PREFIX + name for name in self.evacuated}
         for change in changes:
             if change.key == CONFIGURATION_KEY and change.content is not None:
                 self.adopt_configuration(change.content, 'store')
-            elif change.key.startswith(EVACUATIONS):
+            elif change.key.startswith(EVACUATIONS_PREFIX):
                 # A key may be set and removed repeatedly; the last change
                 # applies.
                 evacuated.discard(change.key)
@@ -282,7 +286,7 @@
         self._on_operator()
 
     def _set_evacuated(self, keys: Iterable[str]) -> None:
-        names = frozenset(key[len(EVACUATIONS) :] for key in keys)
+        names = frozenset(key[len(EVACUATIONS_PREFIX) :] for key in keys)
         if names != self.evacuated:
             self.evacuated = names
             self._node.log(
--- a/siskinbank/relay/handover.py
+++ b/siskinbank/relay/handover.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from siskinbank.platform.documents import Unreadable
+from siskinbank.platform.documents import DocumentError
 from siskinbank.relay import messages
 from siskinbank.relay.log import without_spaces
 from siskinbank.relay.loop import NEVER
@@ -100,7 +100,7 @@
         before = follower.configuration.version
         try:
             accepted = follower.configuration.offer_packed(packed)
-        except Unreadable as error:
+        except DocumentError as error:
             self._node.log(
                 'configuration.refused',
                 source=ip,
--- a/siskinbank/relay/main.py
+++ b/siskinbank/relay/main.py
@@ -6,7 +6,7 @@
 import sys
 from posix import environ
 
-from siskinbank.platform.documents import Unreadable
+from siskinbank.platform.documents import DocumentError
 from siskinbank.platform.settings import SETTINGS_VARIABLE
 from siskinbank.relay.node import Node
 
@@ -28,7 +28,7 @@
     try:
         node = Node(path)
         _create_program(role, node)
-    except (OSError, Unreadable) as error:
+    except (OSError, DocumentError) as error:
         sys.stdout.write(f'process.refused reason={error}\n')
         return 1
     node.run()
--- a/siskinbank/relay/node.py
+++ b/siskinbank/relay/node.py
@@ -11,12 +11,12 @@
 )
 from _socket import inet_aton
 
-from siskinbank.platform.documents import Unreadable
+from siskinbank.platform.documents import DocumentError
 from siskinbank.platform.packets import (
     FLOW_KEY,
     client_address,
-    describe,
-    reset_for,
+    describe_flow,
+    build_reset,
 )
 from siskinbank.platform.settings import READY_PATH, read_settings
 from siskinbank.relay.datagrams import open_udp_socket, read_datagrams
@@ -135,7 +135,7 @@
         """Reload the settings; keep the current ones if that fails."""
         try:
             fresh = read_settings(self._path)
-        except (OSError, Unreadable) as error:
+        except (OSError, DocumentError) as error:
             self.log('settings.refused', reason=without_spaces(error))
             return
         before = self.settings
@@ -164,10 +164,10 @@
         """
         key = packet[FLOW_KEY]
         self.meters.count('resets_total')
-        self.log('flow.reset', flow=describe(key), reason=reason, **inputs)
+        self.log('flow.reset', flow=describe_flow(key), reason=reason, **inputs)
         address = (client_address(key), self.settings.packet_port)
         try:
-            sender.sendto(reset_for(packet), address)
+            sender.sendto(build_reset(packet), address)
         except OSError:
             self.meters.count('send_errors_total')
 
--- a/siskinbank/relay/openings.py
+++ b/siskinbank/relay/openings.py
@@ -14,7 +14,7 @@
 from siskinbank.platform.packets import (
     FLOW_KEY,
     HEAD_BYTES,
-    describe,
+    describe_flow,
     sequence_numbers,
 )
 from siskinbank.relay import messages
@@ -199,7 +199,7 @@
         self._node.meters.count('flows_kept_total')
         self._node.log(
             'flow.kept',
-            flow=describe(key),
+            flow=describe_flow(key),
             kept=len(self.queue),
             busy=self._host.busy,
             copy=sequence_numbers(opening.packet)[1],
@@ -229,7 +229,7 @@
             self._node.meters.count('flows_given_up_total')
             self._node.log(
                 'flow.refused',
-                flow=describe(key),
+                flow=describe_flow(key),
                 reason='client-gave-up',
                 kept_ms=int((now - queued.queued_at) * _MS),
             )
@@ -247,7 +247,7 @@
         self._waiting[key] = waiting
         self._node.log(
             'flow.taken',
-            flow=describe(key),
+            flow=describe_flow(key),
             busy=host.busy,
             kept_ms=int((now - queued.queued_at) * _MS),
             kept=len(self.queue),
@@ -271,7 +271,7 @@
         self._node.meters.count(f'flows_not_taken_{name}_total')
         self._node.log(
             'flow.passed' if can_forward else 'flow.refused',
-            flow=describe(key),
+            flow=describe_flow(key),
             reason=name,
             busy=host.busy,
             wait_ms=int(host.wait_s(self._node.loop.now) * _MS),
--- a/siskinbank/relay/records.py
+++ b/siskinbank/relay/records.py
@@ -43,7 +43,7 @@
     record.slots = host.slots
     record.born_ms = host.born_ms
     record.cold_s = max(0, host.cold_s - record.age_s)
-    warm_up = follower.configuration.warmths.get(host.service)
+    warm_up = follower.configuration.warm_ups.get(host.service)
     if warm_up:
-        record.cold_per_s = warm_up.per_s
+        record.cold_per_s = warm_up.cold_requests_per_s
     return record
--- a/siskinbank/relay/request_watch.py
+++ b/siskinbank/relay/request_watch.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from siskinbank.platform.packets import FIN, RST, describe, flags_of
+from siskinbank.platform.packets import FIN, RST, describe_flow, flags_of
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
@@ -59,7 +59,7 @@
         self._node.log(
             'request.start',
             id=request.name,
-            flow=describe(key),
+            flow=describe_flow(key),
             entry=flow.entry or '-',
             busy=host.busy,
         )
@@ -95,7 +95,7 @@
         self._node.log(
             'request.end',
             id=request.name,
-            flow=describe(key),
+            flow=describe_flow(key),
             outcome=outcome,
             ms=int(duration * _MS),
             busy=host.busy,
--- a/siskinbank/relay/seeker.py
+++ b/siskinbank/relay/seeker.py
@@ -16,7 +16,7 @@
     FlowSearches,
     may_still_answer,
 )
-from siskinbank.platform.packets import describe, route_key
+from siskinbank.platform.packets import describe_flow, route_key
 from siskinbank.relay import messages
 from siskinbank.relay.loop import NEVER
 
@@ -123,7 +123,7 @@
         self._searches.begin(key, search)
         hosts = self._hosts_of(route)
         self._node.meters.count('searches_total')
-        self._node.log('flow.search', flow=describe(key), asked=len(hosts))
+        self._node.log('flow.search', flow=describe_flow(key), asked=len(hosts))
         self._queue_query(key, search, hosts)
         self._schedule_round()
 
@@ -132,7 +132,7 @@
         search = self._searches.end(key)
         if search is None:
             return []
-        self._node.log('flow.found', flow=describe(key), host=ip)
+        self._node.log('flow.found', flow=describe_flow(key), host=ip)
         return [search.first, *search.queued_packets]
 
     def add_absent(self, key: bytes, ip: str) -> bool:
@@ -265,7 +265,7 @@
                 silent = search.unanswered(_addresses(hosts))
                 self._node.log(
                     'flow.absent',
-                    flow=describe(key),
+                    flow=describe_flow(key),
                     silent=','.join(silent[:_MAX_LOGGED_HOSTS]) or '-',
                     count=len(silent),
                 )
@@ -312,7 +312,7 @@
         last_seen = host.last_seen if host else self._started
         silent_s = self._node.loop.now - last_seen
         usual_interval_s = host.usual_interval_s if host else 0
-        return may_still_answer(silent_s, route.repeatable, usual_interval_s)
+        return may_still_answer(silent_s, route.idempotent, usual_interval_s)
 
     def _is_isolated(self, route: Route) -> bool:
         """Return whether this process is isolated.
--- a/siskinbank/relay/sidecar.py
+++ b/siskinbank/relay/sidecar.py
@@ -15,10 +15,10 @@
     MAX_PACKET_BYTES,
     RST,
     SYN,
-    answer_key,
+    reverse_flow_key,
     client_address,
     flags_of,
-    not_bounced,
+    clear_bounced,
     sequence_numbers,
 )
 from siskinbank.relay import messages
@@ -75,7 +75,7 @@
         """
         self._node = node
         settings = node.settings
-        if settings.host_address is None or settings.host_output is None:
+        if settings.host_address is None or settings.outbound_address is None:
             raise OSError('settings lack the address or output of the host')
         self._flows: dict[bytes, TrackedFlow] = {}
         self._waiting: dict[bytes, PendingPacket] = {}
@@ -90,7 +90,7 @@
         )
         self._follower.hosts_due = self._hosts_due
         self._follower.operator_due = self._operator_due
-        self._outbound = open_udp_socket(settings.host_output)
+        self._outbound = open_udp_socket(settings.outbound_address)
         self._packets = open_udp_socket((settings.ip, settings.packet_port))
         self._inbound = connect_udp_socket(settings.host_address)
         self._reporter = StatusReporter(
@@ -129,12 +129,12 @@
         if len(packet) < HEAD_BYTES:
             self._node.meters.count('packets_refused_short_total')
         elif flags_of(packet) & BOUNCED:
-            self._handle_bounced(not_bounced(packet))
+            self._handle_bounced(clear_bounced(packet))
         else:
             self._forward_to_client(packet)
 
     def _forward_to_client(self, packet: bytes) -> None:
-        key = answer_key(packet)
+        key = reverse_flow_key(packet)
         flags = flags_of(packet)
         waiting = self._waiting.pop(key, None)
         flow = self._flows.get(key)
--- a/siskinbank/sidecar/announcer.py
+++ b/siskinbank/sidecar/announcer.py
@@ -8,7 +8,7 @@
 from siskinbank.sidecar.context import SidecarContext
 from siskinbank.sidecar.flows import FlowTable, Pointer
 from siskinbank.sidecar.pool_history import PoolHistory
-from siskinbank.wire.flow_messages import Moved, Started
+from siskinbank.wire.flow_messages import Moved, Restarted
 from siskinbank.wire.packets import (
     flow_number,
     pack_address,
@@ -169,7 +169,7 @@
         service = self._context.service
         if service is None:
             return
-        message = Started(service.ident, self._own_address, self._incarnation)
+        message = Restarted(service.ident, self._own_address, self._incarnation)
         own = self._context.process.name
         hosts = [host for host in service.hosts if host.name != own]
         for host in hosts[:_MAX_STARTED_PEERS]:
--- a/siskinbank/sidecar/deflection.py
+++ b/siskinbank/sidecar/deflection.py
@@ -4,7 +4,7 @@
 
 from siskinbank.admission.balance import PoolLoads
 from siskinbank.admission.upstream import UpstreamAdmission
-from siskinbank.wire.envelopes import URGENT, Envelope
+from siskinbank.wire.envelopes import WHOLE_POOL, Envelope
 
 __all__ = ('choose_candidates', 'try_admit')
 
@@ -45,7 +45,7 @@
         return True
     left = len(envelope.candidates) - envelope.position
     is_fallback = left <= _FALLBACK_HOSTS - _FAIR_FALLBACK_HOSTS
-    return bool(envelope.flags & URGENT) and is_fallback
+    return bool(envelope.flags & WHOLE_POOL) and is_fallback
 
 
 def choose_candidates(
@@ -69,14 +69,16 @@
     """
     position = envelope.position + 1
     left = loads.among(envelope.candidates[position:])
-    if envelope.flags & URGENT and (left or envelope.hops >= _LAST_PLAN_HOP):
+    if envelope.flags & WHOLE_POOL and (
+        left or envelope.hops >= _LAST_PLAN_HOP
+    ):
         return
     if left and not envelope.position:
         second = loads.sort(left)[0]
         loads.expect(second)
         envelope.candidates = (envelope.candidates[0], second)
         return
-    envelope.flags |= URGENT
+    envelope.flags |= WHOLE_POOL
     envelope.candidates = _fallback_hosts(own, loads, rng)
     envelope.position = -1
 
--- a/siskinbank/sidecar/forwarder.py
+++ b/siskinbank/sidecar/forwarder.py
@@ -14,8 +14,8 @@
 )
 from siskinbank.wire.envelopes import (
     MAX_CANDIDATES,
-    NAMED,
-    ORPHAN,
+    OWNER_NAMED,
+    ADOPT_UNOWNED,
     PROBE,
     UNCACHED,
     Envelope,
@@ -79,18 +79,18 @@
 
     def follow_pointer(self, envelope: Envelope, pointer: Pointer) -> bool:
         """Forward an envelope to a pointer's host; return whether it may go."""
-        searching = envelope.flags & (ORPHAN | PROBE)
+        searching = envelope.flags & (ADOPT_UNOWNED | PROBE)
         if searching and pointer.address in envelope.candidates:
             # A host that probes for a flow of its own earlier incarnation gets
             # the packet back under that incarnation.
             searcher = envelope.candidates[-1] == pointer.address
-            if envelope.flags & ORPHAN or not (
+            if envelope.flags & ADOPT_UNOWNED or not (
                 searcher and pointer.incarnation
             ):
                 return False
         if not self._router.allows(pointer.address, pointer.generation):
             return False
-        envelope.flags = NAMED | UNCACHED
+        envelope.flags = OWNER_NAMED | UNCACHED
         envelope.incarnation = pointer.incarnation
         envelope.candidates = (pointer.address,)
         envelope.position = 0
--- a/siskinbank/sidecar/ledger.py
+++ b/siskinbank/sidecar/ledger.py
@@ -7,7 +7,7 @@
 from siskinbank.kernel.reasons import Drop, GivenUp
 from siskinbank.sidecar.context import SidecarContext
 from siskinbank.sidecar.flows import FlowTable, OwnedFlow
-from siskinbank.wire.packets import read_ends
+from siskinbank.wire.packets import flow_target
 
 __all__ = ('FlowAccounting', 'service_ends')
 
@@ -49,7 +49,7 @@
         """Abandon the flows to addresses that the service no longer has."""
         ends = service_ends(service)
         reassigned = [
-            flow for flow in self.flows if read_ends(flow) not in ends
+            flow for flow in self.flows if flow_target(flow) not in ends
         ]
         removed = [self.flows.remove(flow) for flow in reassigned]
         self._abandon(
--- a/siskinbank/sidecar/packets.py
+++ b/siskinbank/sidecar/packets.py
@@ -17,19 +17,19 @@
 from siskinbank.sidecar.pool_history import PoolHistory
 from siskinbank.sidecar.probes import OwnerProbes
 from siskinbank.wire.loads import PoolLoad
-from siskinbank.wire.flow_messages import Moved, Started
+from siskinbank.wire.flow_messages import Moved, Restarted
 from siskinbank.wire.messages import Message
 from siskinbank.wire.packets import (
     InnerPacket,
     parse_inner,
 )
 from siskinbank.wire.envelopes import (
-    NAMED,
-    ORPHAN,
+    OWNER_NAMED,
+    ADOPT_UNOWNED,
     PROBE,
     PROBED,
     UNCACHED,
-    URGENT,
+    WHOLE_POOL,
     Envelope,
     read_owned,
 )
@@ -147,10 +147,10 @@
         """Handle announcements of loads, of flows elsewhere and of restarts."""
         if isinstance(received, PoolLoad):
             self.exchange.receive_report(received)
-        elif isinstance(received, Moved | Started):
+        elif isinstance(received, Moved | Restarted):
             self._receive_ownership(received)
 
-    def _receive_ownership(self, received: Moved | Started) -> None:
+    def _receive_ownership(self, received: Moved | Restarted) -> None:
         if received.service != self._service:
             self._metrics.count(Drop.wrong_service)
         elif isinstance(received, Moved):
@@ -203,7 +203,7 @@
         number = packet.key
         if self._follow_pointer(envelope, packet, number):
             return
-        if envelope.flags & ORPHAN:
+        if envelope.flags & ADOPT_UNOWNED:
             if self._forwarder.has_returned(envelope):
                 self._adopt(envelope, packet)
             else:
@@ -310,7 +310,7 @@
 
     def _is_named_owner(self, envelope: Envelope) -> bool:
         """Return whether the sender names an incarnation of this host."""
-        named = bool(envelope.flags & NAMED)
+        named = bool(envelope.flags & OWNER_NAMED)
         return named and same_host(envelope.incarnation, self.incarnation)
 
     def _may_be_own(self, envelope: Envelope, packet: InnerPacket) -> bool:
@@ -323,7 +323,7 @@
         """
         if packet.first:
             return False
-        if envelope.flags & NAMED:
+        if envelope.flags & OWNER_NAMED:
             if packet.may_open and envelope.incarnation == self.incarnation:
                 return False
             return self._is_named_owner(envelope)
@@ -340,7 +340,7 @@
         """Search all other hosts for a flow, and adopt it if none owns it."""
         others = self._forwarder.addresses(self._history.known(number))
         if others:
-            flags = ORPHAN | UNCACHED
+            flags = ADOPT_UNOWNED | UNCACHED
             self._forwarder.send_to_all(envelope, flags, others)
         else:
             self._adopt(envelope, packet)
@@ -365,9 +365,9 @@
         packet: InnerPacket,
         number: int,
     ) -> None:
-        if envelope.flags & NAMED:
+        if envelope.flags & OWNER_NAMED:
             self._forwarder.reset_owner(envelope)
-        opens = packet.may_open and not envelope.flags & (PROBE | ORPHAN)
+        opens = packet.may_open and not envelope.flags & (PROBE | ADOPT_UNOWNED)
         if opens:
             # The next host need not probe for the owner again.
             envelope.flags |= PROBED
@@ -498,7 +498,7 @@
     """
     if pointer.incarnation:
         return True
-    return envelope.hops < _FORWARDED_HOPS and not envelope.flags & URGENT
+    return envelope.hops < _FORWARDED_HOPS and not envelope.flags & WHOLE_POOL
 
 
 def _prober(envelope: Envelope) -> bytes | None:
--- a/siskinbank/sidecar/requests.py
+++ b/siskinbank/sidecar/requests.py
@@ -16,9 +16,9 @@
 from siskinbank.sidecar.upstream import UpstreamClient
 from siskinbank.wire.bodies import (
     CHUNK_BYTES,
-    START_BYTES,
+    INITIAL_CREDIT_BYTES,
     WINDOW_BYTES,
-    BodyCutError,
+    BodyTruncatedError,
     BodyReader,
     SendWindow,
     send_body,
@@ -56,7 +56,7 @@
 _OVERLOADED = frozenset((502, 503, 504))
 _RUNS_METRIC = 'requests_run'
 #: Errors after which the upstream may have read part of the request.
-_FAILURES = (aiohttp.ClientError, BodyCutError, OSError, ValueError)
+_FAILURES = (aiohttp.ClientError, BodyTruncatedError, OSError, ValueError)
 #: Errors after which nothing of the request was sent.
 _CONNECT_FAILURES = (
     aiohttp.ClientConnectorError,
@@ -186,7 +186,7 @@
     ) -> None:
         """Handle a message that belongs to an open request."""
         if isinstance(received, Credit):
-            request.window.give(received.size)
+            request.window.add_credit(received.size)
             return
         if isinstance(received, Cancel):
             _cancel(request)
@@ -194,7 +194,7 @@
         problem = request.body.put(received)
         if problem is not None:
             self._metrics.count(problem)
-            request.body.fail(BodyCutError(problem.value))
+            request.body.fail(BodyTruncatedError(problem.value))
 
     def _start(self, head: RequestHead, link: _EntryLink) -> None:
         if not self._use_number(head.number, link):
@@ -267,7 +267,7 @@
             self._refuse(head, request.link, reason)
             return
         if head.length:
-            granted = WINDOW_BYTES - START_BYTES
+            granted = WINDOW_BYTES - INITIAL_CREDIT_BYTES
             request.link.post(Credit(head.number, granted))
         try:
             await self._send_upstream(request)
@@ -391,6 +391,6 @@
 
 
 def _cancel(request: _Running) -> None:
-    request.body.fail(BodyCutError('cancelled'))
+    request.body.fail(BodyTruncatedError('cancelled'))
     if request.task is not None:
         request.task.cancel()
--- a/siskinbank/wire/bodies.py
+++ b/siskinbank/wire/bodies.py
@@ -15,9 +15,9 @@
 
 __all__ = (
     'CHUNK_BYTES',
-    'START_BYTES',
+    'INITIAL_CREDIT_BYTES',
     'WINDOW_BYTES',
-    'BodyCutError',
+    'BodyTruncatedError',
     'BodyReader',
     'SendWindow',
     'send_body',
@@ -26,12 +26,12 @@
 #: Maximum number of outstanding bytes of one body.
 WINDOW_BYTES = 256 * 1024
 #: Maximum number of bytes of a request's body sent before admission.
-START_BYTES = 64 * 1024
+INITIAL_CREDIT_BYTES = 64 * 1024
 #: Maximum number of bytes in one part.
 CHUNK_BYTES = 64 * 1024
 
 
-class BodyCutError(Exception):
+class BodyTruncatedError(Exception):
     """A body was cut before its end mark."""
 
 
@@ -43,7 +43,7 @@
         self._credit = size
         self._changed = asyncio.Event()
 
-    def give(self, size: int) -> None:
+    def add_credit(self, size: int) -> None:
         """Add credit that the receiver granted, in bytes."""
         self._credit += max(size, 0)
         self._changed.set()
@@ -124,7 +124,7 @@
         """Wait for a part or the end of the body."""
         while not self._parts and not self._ended:
             if self._failure is not None:
-                raise BodyCutError(str(self._failure)) from self._failure
+                raise BodyTruncatedError(str(self._failure)) from self._failure
             self._changed.clear()
             await self._changed.wait()
 
--- a/siskinbank/wire/checks.py
+++ b/siskinbank/wire/checks.py
@@ -2,19 +2,19 @@
 
 from typing import Any
 
-__all__ = ('MAX_NAME', 'is_name', 'is_number')
+__all__ = ('MAX_NAME', 'is_valid_name', 'is_number_below')
 
 #: Maximum length of the name of an instance or data centre, in characters.
 MAX_NAME = 63
 
 
-def is_number(given: Any, limit: int) -> bool:
+def is_number_below(given: Any, limit: int) -> bool:
     """Return whether ``given`` is an integer from 0 to below ``limit``."""
     if not isinstance(given, int) or isinstance(given, bool):
         return False
     return 0 <= given < limit
 
 
-def is_name(given: Any) -> bool:
+def is_valid_name(given: Any) -> bool:
     """Return whether ``given`` is a valid instance or data centre name."""
     return isinstance(given, str) and 0 < len(given) <= MAX_NAME
--- a/siskinbank/wire/envelopes.py
+++ b/siskinbank/wire/envelopes.py
@@ -7,13 +7,13 @@
 
 __all__ = (
     'MAX_CANDIDATES',
-    'NAMED',
-    'ORPHAN',
+    'OWNER_NAMED',
+    'ADOPT_UNOWNED',
     'PACKET_KIND',
     'PROBE',
     'PROBED',
     'UNCACHED',
-    'URGENT',
+    'WHOLE_POOL',
     'Envelope',
     'read_owned',
 )
@@ -23,15 +23,15 @@
 #: The entry does not know the owner and requests an ``Owner`` message.
 UNCACHED = 0x01
 #: The sender considers the receiver, in the given ``incarnation``, the owner.
-NAMED = 0x02
+OWNER_NAMED = 0x02
 #: Asks the candidates whether they own the flow; the last one may admit it.
 PROBE = 0x04
 #: The candidates were asked already; a host with capacity may admit the flow.
 PROBED = 0x08
 #: The last candidate, which restarted, adopts the flow if no host owns it.
-ORPHAN = 0x10
+ADOPT_UNOWNED = 0x10
 #: All candidates are loaded, so hosts of the whole pool are asked.
-URGENT = 0x80
+WHOLE_POOL = 0x80
 
 MAX_CANDIDATES = 8
 _HOP_SHIFT = 4
@@ -123,7 +123,7 @@
     opens nor ends a flow. For other bodies the result is None, and the caller
     unpacks the envelope.
     """
-    if len(body) < _MIN_OWNED_BYTES or body[1] != NAMED or body[3] != 1:
+    if len(body) < _MIN_OWNED_BYTES or body[1] != OWNER_NAMED or body[3] != 1:
         return None
     if _SERVICE.unpack_from(body, _SERVICE_OFFSET)[0] != service:
         return None
--- a/siskinbank/wire/flow_messages.py
+++ b/siskinbank/wire/flow_messages.py
@@ -7,7 +7,7 @@
 __all__ = (
     'Moved',
     'Owner',
-    'Started',
+    'Restarted',
 )
 
 
@@ -47,7 +47,7 @@
 
 @message
 @dataclasses.dataclass(frozen=True, slots=True)
-class Started(Message):
+class Restarted(Message):
     """Informs the sidecars of a service that the sender lost its flow table."""
 
     kind = 30
--- a/siskinbank/wire/gossip.py
+++ b/siskinbank/wire/gossip.py
@@ -8,7 +8,7 @@
     'FRESH',
     'REPLY_WANTED',
     'Announce',
-    'Ask',
+    'PieceRequest',
     'Bucket',
     'Buckets',
     'Piece',
@@ -55,7 +55,7 @@
 
 @message
 @dataclasses.dataclass(frozen=True, slots=True)
-class Ask(Message):
+class PieceRequest(Message):
     """Requests the pieces of a compressed document from ``first`` on."""
 
     kind = 81
--- a/siskinbank/wire/packets.py
+++ b/siskinbank/wire/packets.py
@@ -17,7 +17,7 @@
     'pack_address',
     'parse_inner',
     'plain_flow',
-    'read_ends',
+    'flow_target',
     'unpack_address',
 )
 
@@ -100,7 +100,7 @@
     return number
 
 
-def read_ends(flow: bytes) -> tuple[bytes, int]:
+def flow_target(flow: bytes) -> tuple[bytes, int]:
     """Return the target address and port of a 13-byte flow."""
     if len(flow) != FLOW_BYTES:
         return b'', 0
--- a/tests/beliefs/test_configuration.py
+++ b/tests/beliefs/test_configuration.py
@@ -3,7 +3,7 @@
 import unittest
 
 from siskinbank.beliefs.configuration import Configuration
-from siskinbank.platform.documents import Unreadable
+from siskinbank.platform.documents import DocumentError
 from siskinbank.platform.encoding import RouteEntry, encode_configuration
 
 
@@ -29,8 +29,11 @@
         configuration = Configuration()
         configuration.offer(raw(5))
         for damaged in (b'', b'x', configuration.packed[:-4]):
-            with self.subTest(damaged=damaged), self.assertRaises(Unreadable):
+            with (
+                self.subTest(damaged=damaged),
+                self.assertRaises(DocumentError),
+            ):
                 configuration.offer_packed(damaged)
-        with self.assertRaises(Unreadable):
+        with self.assertRaises(DocumentError):
             configuration.offer(raw(6)[:-1])
         self.assertEqual(configuration.version, 5)
--- a/tests/entry/test_flow_searches.py
+++ b/tests/entry/test_flow_searches.py
@@ -28,14 +28,14 @@
 
     def test_wait_for_silent_host(self) -> None:
         """The wait is shorter if a request may run again."""
-        for silent_s, repeatable, waits in (
+        for silent_s, idempotent, waits in (
             (0.5, True, True),
             (1.4, True, False),
             (1.4, False, True),
             (3.1, False, False),
         ):
-            found = may_still_answer(silent_s, repeatable, 0.4)
-            self.assertEqual(found, waits, (silent_s, repeatable))
+            found = may_still_answer(silent_s, idempotent, 0.4)
+            self.assertEqual(found, waits, (silent_s, idempotent))
 
     def test_long_status_interval(self) -> None:
         """Load pattern: a hundred entries with a status update every 1.2 s."""
--- a/tests/lab/test_interleavings.py
+++ b/tests/lab/test_interleavings.py
@@ -23,12 +23,12 @@
 
 ENTRIES = 3
 #: More than a packet has candidates, so that owners must be known of.
-HOSTS = 8
-CENTRES = {number: 'a' if number < 5 else 'b' for number in range(HOSTS)}
+HOSTS_PREFIX = 8
+CENTRES = {number: 'a' if number < 5 else 'b' for number in range(HOSTS_PREFIX)}
 LAST_PACKETS = 3
 #: Longer than a generation takes everywhere, and than any repair may take.
 SETTLE_SECONDS = 5
-HOST = st.integers(0, HOSTS - 1)
+HOST = st.integers(0, HOSTS_PREFIX - 1)
 
 
 def name_of(number: int) -> str:
@@ -44,7 +44,7 @@
         super().__init__()
         self.pool = Pool(seed=1)
         self.plan = PoolPlan(
-            dict.fromkeys(range(HOSTS), 'active'),
+            dict.fromkeys(range(HOSTS_PREFIX), 'active'),
             centres=CENTRES,
         )
         self.flows: dict[int, Flow] = {}
@@ -57,7 +57,7 @@
         """Start all processes with the first generation."""
         for number in range(ENTRIES):
             self.pool.add_entry(f'entry-{number}', number)
-        for number in range(HOSTS):
+        for number in range(HOSTS_PREFIX):
             self.pool.add_sidecar(name_of(number), host_address(number))
         self.publish(0)
         self.pool.run(SETTLE_SECONDS)
--- a/tests/platform/test_packets.py
+++ b/tests/platform/test_packets.py
@@ -13,15 +13,15 @@
     FLOW_KEY,
     RST,
     SYN,
-    answer_key,
+    reverse_flow_key,
     begins_request,
     client_address,
-    describe,
-    not_bounced,
-    problem_of,
+    describe_flow,
+    clear_bounced,
+    packet_problem,
     read_answer,
     request_id,
-    reset_for,
+    build_reset,
     route_key,
 )
 
@@ -43,26 +43,26 @@
 
     def test_published_example(self) -> None:
         """A SYN is decoded, and its reset matches the example."""
-        self.assertIsNone(problem_of(EXAMPLE))
+        self.assertIsNone(packet_problem(EXAMPLE))
         packet = Packet.read(EXAMPLE)
         self.assertEqual((packet.source, packet.target), (CLIENT, SERVICE))
         self.assertEqual((packet.flags, packet.number), (SYN, 0x11223344))
-        self.assertEqual(reset_for(EXAMPLE), EXAMPLE_RESET)
+        self.assertEqual(build_reset(EXAMPLE), EXAMPLE_RESET)
 
     def test_both_directions_have_one_flow_key(self) -> None:
         """A host's packet has the flow key of the client's packets."""
         from_client = Packet(CLIENT, SERVICE, ACK).write()
         from_host = Packet(SERVICE, CLIENT, ACK).write()
         key = from_client[FLOW_KEY]
-        self.assertEqual(answer_key(from_host), key)
+        self.assertEqual(reverse_flow_key(from_host), key)
         self.assertEqual(client_address(key), CLIENT[0])
         self.assertEqual(route_key(key), bytes((198, 18, 0, 1, 1, 187)))
-        self.assertEqual(describe(key), '100.64.0.7:40001-198.18.0.1:443')
+        self.assertEqual(describe_flow(key), '100.64.0.7:40001-198.18.0.1:443')
 
     def test_reset_repeats_acknowledged_number(self) -> None:
         """Clients accept a reset only near the number they acknowledged."""
         raw = Packet(CLIENT, SERVICE, ACK, 5, 0xFFFFFFF0, b'data').write()
-        reset = Packet.read(reset_for(raw))
+        reset = Packet.read(build_reset(raw))
         self.assertEqual((reset.flags, reset.number), (RST, 0xFFFFFFF0))
         self.assertEqual((reset.source, reset.target), (SERVICE, CLIENT))
         self.assertEqual((reset.checksum, reset.content), (0, b''))
@@ -72,7 +72,7 @@
         raw = Packet(CLIENT, SERVICE, ACK, 5, 6, b'data').write()
         bounced = bytearray(raw)
         bounced[12] |= BOUNCED
-        self.assertEqual(not_bounced(bytes(bounced)), raw)
+        self.assertEqual(clear_bounced(bytes(bounced)), raw)
 
     def test_invalid_client_packets(self) -> None:
         """Each invalid packet is refused with its reason."""
@@ -87,21 +87,21 @@
             ('forged', Packet(CLIENT, SERVICE, SYN | ACK).write()),
         ):
             with self.subTest(problem=problem, raw=raw):
-                self.assertEqual(problem_of(raw), problem)
+                self.assertEqual(packet_problem(raw), problem)
 
     def test_valid_client_flags(self) -> None:
         """All flags that clients use are valid."""
         for flags in (0, SYN, ACK, FIN | ACK, RST, RST | ACK):
             with self.subTest(flags=flags):
                 packet = Packet(CLIENT, SERVICE, flags).write()
-                self.assertIsNone(problem_of(packet))
+                self.assertIsNone(packet_problem(packet))
 
     @given(st.binary(max_size=1300))
     def test_any_datagram(self, raw: bytes) -> None:
         """A datagram that is valid can be processed further."""
-        if problem_of(raw) is None:
-            describe(raw[FLOW_KEY])
-            reset_for(raw)
+        if packet_problem(raw) is None:
+            describe_flow(raw[FLOW_KEY])
+            build_reset(raw)
             begins_request(raw)
             request_id(raw)
 
--- a/tests/platform/test_records.py
+++ b/tests/platform/test_records.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from siskinbank.platform.documents import Unreadable, decode
+from siskinbank.platform.documents import DocumentError, decode
 from siskinbank.platform.encoding import (
     HostEntry,
     RouteEntry,
@@ -71,7 +71,7 @@
             changed_entry(born=1.5),
             changed_entry(Zone=[]),
         ):
-            with self.subTest(raw=raw), self.assertRaises(Unreadable):
+            with self.subTest(raw=raw), self.assertRaises(DocumentError):
                 decode_host(raw)
 
     def test_slots_are_capped(self) -> None:
@@ -82,7 +82,7 @@
     def test_any_input(self, raw: bytes) -> None:
         """Any input is decoded or raises Unreadable."""
         for read in (decode, decode_host, decode_configuration):
-            with suppress(Unreadable):
+            with suppress(DocumentError):
                 read(raw)
 
 
@@ -93,16 +93,16 @@
         """Routes are keyed by address and port as in a flow key."""
         raw = encode_configuration(
             9,
-            [RouteEntry('matcher', ('198.18.0.1', 443), 1.5, repeatable=False)],
+            [RouteEntry('matcher', ('198.18.0.1', 443), 1.5, idempotent=False)],
             cold_per_s=4,
         )
-        version, routes, warmths = decode_configuration(raw)
+        version, routes, warm_ups = decode_configuration(raw)
         self.assertEqual(version, 9)
         route = routes[bytes((198, 18, 0, 1, 443 >> 8, 443 & 255))]
         self.assertEqual(route.service_for(5), 'matcher')
         self.assertEqual((route.limit_s, route.target_latency_s), (1.5, 1.5))
-        self.assertFalse(route.repeatable)
-        self.assertEqual(warmths['matcher'].per_s, 4)
+        self.assertFalse(route.idempotent)
+        self.assertEqual(warm_ups['matcher'].cold_requests_per_s, 4)
 
     def test_shares_follow_their_weights(self) -> None:
         """Draws follow the weights; a service of weight 0 gets none."""
@@ -136,5 +136,5 @@
             {'Services': None},
         ):
             raw = json.dumps({**good, **change}).encode()
-            with self.subTest(change=change), self.assertRaises(Unreadable):
+            with self.subTest(change=change), self.assertRaises(DocumentError):
                 decode_configuration(raw)
--- a/tests/platform/test_settings.py
+++ b/tests/platform/test_settings.py
@@ -5,7 +5,7 @@
 import unittest
 from pathlib import Path
 
-from siskinbank.platform.documents import Unreadable
+from siskinbank.platform.documents import DocumentError
 from siskinbank.platform.encoding import ProcessSettings
 from siskinbank.platform.settings import read_settings
 
@@ -38,7 +38,7 @@
         self.assertEqual(settings.packet_port, 8172)
         self.assertEqual(settings.peer_port, 7720)
         self.assertEqual(settings.ready_address, ('10.0.0.2', 8167))
-        self.assertEqual(settings.host_output, ('10.0.0.2', 8162))
+        self.assertEqual(settings.outbound_address, ('10.0.0.2', 8162))
         self.assertEqual(settings.host_address, ('10.0.0.2', 8165))
         self.assertEqual(settings.seeds, ('10.0.0.1',))
         self.assertEqual(settings.store, ('10.9.9.9', 8169))
@@ -65,5 +65,5 @@
             with self.subTest(field=field):
                 changed = {**document, field: content}
                 self.path.write_text(json.dumps(changed))
-                with self.assertRaises(Unreadable):
+                with self.assertRaises(DocumentError):
                     read_settings(str(self.path))
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -3,12 +3,12 @@
 import json
 import unittest
 
-from siskinbank.platform.documents import Unreadable
+from siskinbank.platform.documents import DocumentError
 from siskinbank.platform.encoding import Item, encode_page, read_call
 from siskinbank.platform.store import (
-    HOSTS,
-    OPERATOR,
-    changes_path,
+    HOSTS_PREFIX,
+    OPERATOR_PREFIX,
+    watch_path,
     key_path,
     page_path,
     read_change,
@@ -22,12 +22,12 @@
 
     def test_listing(self) -> None:
         """A listing continues after an escaped key."""
-        call = read_call(page_path(HOSTS, 'servers/a b&c=ä', stale=True))
+        call = read_call(page_path(HOSTS_PREFIX, 'servers/a b&c=ä', stale=True))
         self.assertEqual(call.kind, 'list')
-        self.assertEqual(call.prefix, HOSTS)
+        self.assertEqual(call.prefix, HOSTS_PREFIX)
         self.assertEqual(call.after, 'servers/a b&c=ä')
         self.assertTrue(call.stale)
-        self.assertFalse(read_call(page_path(HOSTS)).stale)
+        self.assertFalse(read_call(page_path(HOSTS_PREFIX)).stale)
 
     def test_one_item(self) -> None:
         """One item is requested by its key and decoded."""
@@ -40,7 +40,7 @@
 
     def test_watch(self) -> None:
         """A watch has a revision and a wait in whole milliseconds."""
-        call = read_call(changes_path(OPERATOR, 41, 1.0004))
+        call = read_call(watch_path(OPERATOR_PREFIX, 41, 1.0004))
         self.assertEqual((call.kind, call.after), ('watch', '41'))
         self.assertEqual(call.wait_s, 1)
 
@@ -71,5 +71,5 @@
             b'{"items": [{"Key": 1}], "At": 1}',
             b'{"items": [{"Key": "a", "Rev": 1, "Value": "!"}], "At": 1}',
         ):
-            with self.subTest(body=body), self.assertRaises(Unreadable):
+            with self.subTest(body=body), self.assertRaises(DocumentError):
                 read_page(body)
--- a/tests/relay/test_end_to_end.py
+++ b/tests/relay/test_end_to_end.py
@@ -11,7 +11,7 @@
 from siskinbank.lab.rig.fleet import TARGET, Fleet
 from siskinbank.platform.encoding import Packet, RouteEntry
 from siskinbank.platform.packets import ACK, BOUNCED, SYN
-from siskinbank.platform.store import HOSTS
+from siskinbank.platform.store import HOSTS_PREFIX
 
 # Limit of the platform from a change by operator or host to its effect, in
 # seconds.
@@ -139,7 +139,7 @@
         """Other clients have written invalid records beside those of hosts."""
         broken = (b'\xff\x00', b'[]', b'{"Service": 7}', b'{"Service": "x"}')
         for number, content in enumerate(broken):
-            await self.fleet.store.put(f'{HOSTS}0-{number}', content)
+            await self.fleet.store.put(f'{HOSTS_PREFIX}0-{number}', content)
         await self.fleet.register(2, draining=True)
         await asyncio.sleep(_MAX_APPLY_S)
         accepted = len(self.fleet.hosts[2].taken)
--- a/tests/sidecar/test_packets.py
+++ b/tests/sidecar/test_packets.py
@@ -21,7 +21,7 @@
     make_udp,
 )
 from siskinbank.util import digest64
-from siskinbank.wire.envelopes import NAMED, UNCACHED, Envelope
+from siskinbank.wire.envelopes import OWNER_NAMED, UNCACHED, Envelope
 from siskinbank.wire.flow_messages import Moved, Owner
 from siskinbank.wire.packets import flow_number, pack_address, parse_inner
 
@@ -335,9 +335,9 @@
         loop = (pack_address(host_address(1)), pack_address(host_address(2)))
         unknown = make_packet(_flow(9), ACK)
         cases = (
-            ('service', NAMED, 0, digest64('other'), self.raw, (own,)),
-            ('address', NAMED, 0, ident, other, (own,)),
-            ('truncated', NAMED, 0, ident, self.raw[:30], (own,)),
+            ('service', OWNER_NAMED, 0, digest64('other'), self.raw, (own,)),
+            ('address', OWNER_NAMED, 0, ident, other, (own,)),
+            ('truncated', OWNER_NAMED, 0, ident, self.raw[:30], (own,)),
             ('hops', UNCACHED, 15, ident, unknown, loop),
         )
         expected = {
@@ -477,7 +477,7 @@
         sidecar = self.pool.sidecars[owner]
         own = pack_address(sidecar.address)
         envelope = Envelope(
-            NAMED, 0, 0, digest64(SERVICE), 1, 0, own, (own,), raw
+            OWNER_NAMED, 0, 0, digest64(SERVICE), 1, 0, own, (own,), raw
         )
         self.assertFalse(sidecar.handler.receive_owned(envelope.pack()))
         sidecar.handler.receive(envelope, SENDER)
--- a/tests/wire/test_bodies.py
+++ b/tests/wire/test_bodies.py
@@ -7,7 +7,7 @@
 from siskinbank.wire.bodies import (
     CHUNK_BYTES,
     WINDOW_BYTES,
-    BodyCutError,
+    BodyTruncatedError,
     BodyReader,
     SendWindow,
     send_body,
@@ -30,7 +30,7 @@
             nonlocal pending
             assert isinstance(sent, Credit)
             pending -= sent.size
-            window.give(sent.size)
+            window.add_credit(sent.size)
 
         reader = BodyReader(NUMBER, grant)
         max_pending = 0
@@ -88,5 +88,5 @@
         reader.put(BodyPart(NUMBER, 0, False, b'a'))
         reader.fail(OSError('lost'))
         self.assertEqual(await reader.read(), b'a')
-        with self.assertRaises(BodyCutError):
+        with self.assertRaises(BodyTruncatedError):
             await reader.read()
