--- a/siskinbank/lab/configuration.py
+++ b/siskinbank/lab/configuration.py
@@ -92,9 +92,9 @@
     for node in paused:
         node.pause()
         fleet.network.after(_FAULT_SECONDS, node.resume)
-    fleet.cut_regions()
-    fleet.platform.only_region = 'north'
-    fleet.network.after(_FAULT_SECONDS, fleet.heal)
+    fleet.partition_regions()
+    fleet.platform.reachable_region = 'north'
+    fleet.network.after(_FAULT_SECONDS, fleet.remove_partitions)
     fleet.publish(2)
     seconds = _wait(fleet, fleet.generation)
     fleet.network.loss = 0
@@ -104,7 +104,7 @@
 def _restarts_while_stale(fleet: VirtualFleet) -> dict[str, Any]:
     """Restart some, a data centre and all entries; the service is stale."""
     now = fleet.generation
-    fleet.platform.go_back()
+    fleet.platform.serve_previous()
     names = fleet.rng.sample(
         list(fleet.nodes),
         max(int(len(fleet.nodes) * _RESTARTED_SHARE), 1),
@@ -120,7 +120,7 @@
     ]
     lower = sum(generation < now for generation in generations)
     waiting = sum(not node.adopted for node in restarted)
-    fleet.platform.catch_up()
+    fleet.platform.serve_latest()
     return {
         'restarted_while_stale': len(restarted),
         'reverts': lower + _own_reverts(fleet),
@@ -131,7 +131,7 @@
 def _own_reverts(fleet: VirtualFleet) -> int:
     """Count the times that a process itself went back."""
     reverts = 0
-    for node in (*fleet.alive, *fleet.left):
+    for node in (*fleet.alive, *fleet.stopped_nodes):
         taken = [generation for _at, generation in node.adopted]
         reverts += sum(
             later < earlier
--- a/siskinbank/lab/control.py
+++ b/siskinbank/lab/control.py
@@ -131,7 +131,7 @@
     for second in range(_WORST_SECONDS):
         fleet.publish(second)
         fleet.restart(names[second % len(names)])
-        fleet.list_as(names[-second - 1], InstanceState.leaving)
+        fleet.set_listed_state(names[-second - 1], InstanceState.leaving)
         fleet.run(1)
     return _WORST_SECONDS
 
--- a/siskinbank/lab/fleet.py
+++ b/siskinbank/lab/fleet.py
@@ -300,7 +300,7 @@
         url = f'http://{self._local(self.hosts[name].http)}/stats'
         await self._wait_for(url)
 
-    async def wait_generation(self, port: int, least: int = 0) -> None:
+    async def wait_generation(self, port: int, min_generation: int = 0) -> None:
         """Wait until a process has a generation in force.
 
         Args:
@@ -317,7 +317,7 @@
                     status = await self.get(url)
                 except (OSError, aiohttp.ClientError):
                     status = {'generation': 0}
-                if status['generation'] >= (least or self.generation):
+                if status['generation'] >= (min_generation or self.generation):
                     return
                 await asyncio.sleep(_POLL_SECONDS)
 
--- a/siskinbank/lab/membership.py
+++ b/siskinbank/lab/membership.py
@@ -89,7 +89,7 @@
 def _leave_by_list(fleet: VirtualFleet) -> float:
     """Return the seconds from the first process that knows to the last."""
     name = fleet.instances[-1].name
-    fleet.list_as(name, InstanceState.leaving)
+    fleet.set_listed_state(name, InstanceState.leaving)
     fleet.run(_LIST_SECONDS)
     return _spread(fleet, name)
 
@@ -176,13 +176,13 @@
 def _part(fleet: VirtualFleet) -> dict[str, Any]:
     """Let regions lose each other, publish, and let them find each other."""
     lost = {instance.name for instance in fleet.instances[-3:]}
-    fleet.cut_regions()
-    fleet.platform.only_region = 'north'
+    fleet.partition_regions()
+    fleet.platform.reachable_region = 'north'
     fleet.run(_APART_SECONDS / 2)
     fleet.publish(2)
     fleet.run(_APART_SECONDS / 2)
     gone = max(len(node.gossip.gone - lost) for node in fleet.alive)
-    fleet.heal()
+    fleet.remove_partitions()
     healed_at = fleet.clock.now
     before = fleet.network.octets
     seconds = float('inf')
--- a/siskinbank/lab/node_state.py
+++ b/siskinbank/lab/node_state.py
@@ -10,7 +10,7 @@
 
 from siskinbank.kernel.findings import Findings
 from siskinbank.kernel.metrics import Metrics
-from siskinbank.lab.virtual import QuietLog
+from siskinbank.lab.virtual import CountingLog
 from siskinbank.lab.virtual_fleet import VirtualFleet
 from siskinbank.directory.roster import Roster, parse_record, record_of
 from siskinbank.directory.store import DocumentStore, judge_document
@@ -43,7 +43,7 @@
     )[0]
     roster.index()
     figures['roster_kilobytes'] = _grown(0)
-    store = DocumentStore(QuietLog(), Metrics())
+    store = DocumentStore(CountingLog(), Metrics())
     store.put_raw(manifest.raw)
     for raw in fleet.platform.sections.values():
         store.put_raw(raw)
--- a/siskinbank/lab/rig/client.py
+++ b/siskinbank/lab/rig/client.py
@@ -7,7 +7,7 @@
 from siskinbank.platform.encoding import Packet, request_bytes
 from siskinbank.platform.packets import ACK, FIN, RST, SYN
 
-__all__ = ('ClientFlow', 'ClientStandIn', 'Refused')
+__all__ = ('ClientFlow', 'ClientStandIn', 'FlowFailed')
 
 # How long a client waits for an answer to each copy of its first packet, in
 # seconds. It gives up after the last one.
@@ -17,7 +17,7 @@
 _FIRST_PORT = 20000
 
 
-class Refused(Exception):
+class FlowFailed(Exception):
     """A flow was reset, or no answer came."""
 
 
@@ -52,7 +52,7 @@
     def __init__(self, ip: str, port: int, entry: str) -> None:
         """Initialize a client without flows."""
         self.entry = entry
-        self.broken = 0
+        self.corrupt = 0
         self.resets = 0
         self._ip = ip
         self._port = port
@@ -78,7 +78,7 @@
         """Pass a packet to its flow."""
         packet = Packet.read(data)
         if not packet.has_valid_checksum and not packet.flags & RST:
-            self.broken += 1
+            self.corrupt += 1
             return
         flow = self._flows.get(packet.target[1])
         if flow and packet.source == flow.target:
@@ -101,7 +101,7 @@
                 flow.acknowledged = answer.number + 1
                 self._send(flow, ACK)
                 return flow
-        raise Refused('no answer')
+        raise FlowFailed('no answer')
 
     async def ask(self, flow: ClientFlow, name: str, length: int = 0) -> str:
         """Send a request and return the body of the answer.
@@ -116,7 +116,7 @@
             if body is not None:
                 flow.number += len(content)
                 return body
-        raise Refused('no answer')
+        raise FlowFailed('no answer')
 
     async def request(self, target: tuple[str, int], name: str) -> str:
         """Send one request over a flow of its own."""
@@ -169,5 +169,5 @@
         # The caller retransmits.
         return None
     if packet.flags & RST:
-        raise Refused('reset')
+        raise FlowFailed('reset')
     return packet
--- a/siskinbank/lab/rig/fleet.py
+++ b/siskinbank/lab/rig/fleet.py
@@ -9,7 +9,7 @@
 from signal import SIGKILL, Signals
 from subprocess import STDOUT, Popen
 
-from siskinbank.lab.rig.client import ClientStandIn, Refused
+from siskinbank.lab.rig.client import ClientStandIn, FlowFailed
 from siskinbank.lab.rig.host import HostStandIn
 from siskinbank.lab.rig.store import StoreStandIn
 from siskinbank.platform.encoding import (
@@ -79,7 +79,7 @@
         if self.process:
             self.process.send_signal(number)
 
-    def end(self) -> int | None:
+    def kill(self) -> int | None:
         """Kill the process.
 
         Returns:
@@ -142,7 +142,7 @@
     async def close(self) -> None:
         """Kill the processes and close the stand-ins."""
         for program in (*self.entries, *self.sidecars):
-            program.end()
+            program.kill()
         for host in self.hosts:
             host.close()
         for client in self.clients:
@@ -171,7 +171,7 @@
         )
         await self.store.put(f'{HOSTS_PREFIX}{host.name}', entry.encode())
 
-    async def take_out(self, data_centre: str) -> None:
+    async def evacuate(self, data_centre: str) -> None:
         """Take a data centre out of service."""
         await self.store.put(f'{EVACUATIONS_PREFIX}{data_centre}', b'{}')
 
@@ -179,7 +179,7 @@
         """Return the data centre of a host or entry."""
         return _DATA_CENTRES[index % len(_DATA_CENTRES)]
 
-    async def settle(self, seconds: float = 10) -> None:
+    async def wait_until_ready(self, seconds: float = 10) -> None:
         """Wait until each client can open a flow through its entry.
 
         Raises:
@@ -234,7 +234,7 @@
     while True:
         try:
             await client.request(TARGET, f'settle-{client.entry}')
-        except Refused:
+        except FlowFailed:
             # Not served yet; the caller limits the time.
             await asyncio.sleep(0.05)
         else:
--- a/siskinbank/lab/rig/host.py
+++ b/siskinbank/lab/rig/host.py
@@ -42,10 +42,10 @@
         self.name = name
         self.address = address
         self.runs: list[str] = []
-        self.taken: list[tuple[str, int]] = []
+        self.accepted: list[tuple[str, int]] = []
         self.unknown_flow_packets = 0
-        self.broken = 0
-        self.work_s = _PROCESSING_S
+        self.corrupt = 0
+        self.processing_s = _PROCESSING_S
         self._output = output
         self._flows: dict[tuple[tuple[str, int], tuple[str, int]], int] = {}
         self._transport: asyncio.DatagramTransport | None = None
@@ -70,12 +70,12 @@
         """Accept, answer or bounce a packet."""
         packet = Packet.read(data)
         if not packet.has_valid_checksum:
-            self.broken += 1
+            self.corrupt += 1
             return
         key = (packet.source, packet.target)
         if packet.flags & SYN:
             self._flows.setdefault(key, random.randrange(1 << 32))
-            self.taken.append(packet.source)
+            self.accepted.append(packet.source)
             self._reply(packet, SYN | ACK, self._flows[key])
         elif key in self._flows:
             self._process(key, packet)
@@ -101,7 +101,7 @@
             _, _, rest = packet.content.partition(_ID_HEADER)
             name = rest.partition(b'\r\n')[0].decode()
             loop = asyncio.get_running_loop()
-            loop.call_later(self.work_s, self._finish(packet, name))
+            loop.call_later(self.processing_s, self._finish(packet, name))
 
     def _finish(self, packet: Packet, name: str) -> Callable[[], None]:
         def finish() -> None:
--- a/siskinbank/lab/soak_faults.py
+++ b/siskinbank/lab/soak_faults.py
@@ -313,5 +313,5 @@
         """
         await self._fleet.wait_generation(
             self._fleet.admin_ports()[name],
-            least=1,
+            min_generation=1,
         )
--- a/siskinbank/lab/virtual.py
+++ b/siskinbank/lab/virtual.py
@@ -17,12 +17,12 @@
 from siskinbank.directory.store import DocumentStore, judge_document
 from siskinbank.wire.keys import KEY_BYTES, Key, KeyRing
 
-__all__ = ('QuietLog', 'VirtualNode', 'VirtualTimers')
+__all__ = ('CountingLog', 'VirtualNode', 'VirtualTimers')
 
 _KEYS = KeyRing([Key(1, bytes(KEY_BYTES))])
 
 
-class QuietLog(events.EventLog):
+class CountingLog(events.EventLog):
     """Counts events by number instead of writing them."""
 
     def __init__(self) -> None:
@@ -135,7 +135,7 @@
         self.identity = identity
         self.network = network
         self.timers = VirtualTimers(network, clock, rng)
-        self.log = QuietLog()
+        self.log = CountingLog()
         self.metrics = Metrics()
         self.peers = PeerSocket(_KEYS, self.metrics)
         self.peers.use(network.bind(identity.address, self._receive))
--- a/siskinbank/lab/virtual_fleet.py
+++ b/siskinbank/lab/virtual_fleet.py
@@ -60,7 +60,7 @@
         self.sections: dict[bytes, bytes] = {}
         self.instances: list[Instance] = []
         self.down = False
-        self.only_region = ''
+        self.reachable_region = ''
         self.conflicting: tuple[str, Manifest] | None = None
         self._previous = self.manifest
         self._latest = self.manifest
@@ -74,14 +74,14 @@
 
     def reaches(self, centre: str) -> bool:
         """Return whether a data centre reaches the platform."""
-        wanted = self.only_region
+        wanted = self.reachable_region
         return not wanted or not centre or REGIONS[centre] == wanted
 
-    def go_back(self) -> None:
+    def serve_previous(self) -> None:
         """Serve the document before the latest one, as a stale replica does."""
         self._latest, self.manifest = self.manifest, self._previous
 
-    def catch_up(self) -> None:
+    def serve_latest(self) -> None:
         """Serve the latest document again."""
         self.manifest = self._latest
 
@@ -247,7 +247,7 @@
         self.network = FakeNetwork(self.clock, random.Random(seed + 1))
         self.platform = VirtualPlatform(self.clock)
         self.nodes: dict[str, VirtualNode] = {}
-        self.left: list[VirtualNode] = []
+        self.stopped_nodes: list[VirtualNode] = []
         self.generation = 0
         self._incarnation = 1
         entries = max(round(size * _ENTRY_SHARE), 1)
@@ -305,7 +305,7 @@
         """Stop a process without announcing that it leaves."""
         node = self.nodes.pop(name)
         node.kill()
-        self.left.append(node)
+        self.stopped_nodes.append(node)
         return node
 
     def restart(self, name: str) -> VirtualNode:
@@ -326,14 +326,14 @@
         node.timers.after(wait, read_list)
         return node
 
-    def list_as(self, name: str, state: InstanceState) -> None:
+    def set_listed_state(self, name: str, state: InstanceState) -> None:
         """Set an instance's state in the platform's list."""
         self.platform.instances = [
             replace(one, state=state) if one.name == name else one
             for one in self.platform.instances
         ]
 
-    def cut_regions(self) -> None:
+    def partition_regions(self) -> None:
         """Cut the network between the regions."""
         regions = {
             address: REGIONS[centre]
@@ -345,10 +345,10 @@
 
         self.network.cut = cut
 
-    def heal(self) -> None:
+    def remove_partitions(self) -> None:
         """Remove all network partitions."""
         self.network.cut = lambda _sender, _receiver: False
-        self.platform.only_region = ''
+        self.platform.reachable_region = ''
 
     def _render(
         self,
--- a/tests/lab/test_dissemination.py
+++ b/tests/lab/test_dissemination.py
@@ -34,7 +34,7 @@
         fleet = make_fleet()
         fleet.publish()
         fleet.run(3)
-        fleet.platform.go_back()
+        fleet.platform.serve_previous()
         entries = [one for one in fleet.instances if one.role is Role.entry]
         for instance in entries:
             fleet.restart(instance.name)
--- a/tests/peers/test_freshness.py
+++ b/tests/peers/test_freshness.py
@@ -6,7 +6,7 @@
 from siskinbank.kernel.clock import FakeClock
 from siskinbank.kernel.events import EventLog
 from siskinbank.kernel.metrics import Metrics
-from siskinbank.lab.virtual import QuietLog
+from siskinbank.lab.virtual import CountingLog
 from siskinbank.peers.freshness import LEASE_SECONDS, Freshness
 from siskinbank.peers.rate import TokenBucket
 from siskinbank.peers.readers import (
@@ -29,7 +29,7 @@
     def setUp(self) -> None:
         """Create a lease that a peer has just renewed."""
         self.clock = FakeClock(100)
-        log: EventLog = QuietLog()
+        log: EventLog = CountingLog()
         self.lease = Freshness(self.clock, log, random.Random(1))
         self.lease.note_reply(self.lease.nonce)
 
@@ -92,7 +92,7 @@
     def test_lossy_transfer(self) -> None:
         """A document arrives complete though every third piece is lost."""
         clock = FakeClock()
-        log = QuietLog()
+        log = CountingLog()
         raw = random.Random(1).randbytes(SIZE)
         digest = bytes.fromhex(hex_digest(raw))
         source = DocumentStore(log, Metrics())
@@ -121,7 +121,7 @@
 
     def test_invalid_pieces(self) -> None:
         """Pieces that were not requested or are invalid are dropped."""
-        store = DocumentStore(QuietLog(), Metrics())
+        store = DocumentStore(CountingLog(), Metrics())
         collector = PieceCollector(store, lambda _sent, _to: None, FakeClock())
         digest = bytes(16)
         self.assertFalse(collector.add_piece(Piece(digest, 0, 1, b'x'), PEER))
--- a/tests/relay/test_end_to_end.py
+++ b/tests/relay/test_end_to_end.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 from signal import SIGHUP, SIGTERM
 
-from siskinbank.lab.rig.client import ClientStandIn, Refused
+from siskinbank.lab.rig.client import ClientStandIn, FlowFailed
 from siskinbank.lab.rig.fleet import TARGET, Fleet
 from siskinbank.platform.encoding import Packet, RouteEntry
 from siskinbank.platform.packets import ACK, BOUNCED, SYN
@@ -28,7 +28,7 @@
         self.fleet = Fleet(Path(folder.name))
         self.addAsyncCleanup(self.fleet.close)
         await self.fleet.open()
-        await self.fleet.settle()
+        await self.fleet.wait_until_ready()
 
     def count_runs(self, name: str) -> int:
         """Return how often a request ran, over all hosts."""
@@ -52,15 +52,15 @@
             self.assertTrue(body.startswith(f'calm-{number} '), body)
             self.assertEqual(self.count_runs(f'calm-{number}'), 1)
         hosts, clients = self.fleet.hosts, self.fleet.clients
-        self.assertEqual([host.broken for host in hosts], [0, 0, 0])
-        self.assertEqual([client.broken for client in clients], [0, 0])
+        self.assertEqual([host.corrupt for host in hosts], [0, 0, 0])
+        self.assertEqual([client.corrupt for client in clients], [0, 0])
 
     async def test_flow_survives_entry_failure(self) -> None:
         """After an entry failure another entry finds the host of a flow."""
         client = self.fleet.clients[0]
         flow = await client.connect(TARGET)
         before = await client.ask(flow, 'before')
-        self.fleet.entries[0].end()
+        self.fleet.entries[0].kill()
         client.entry = self.fleet.entries[1].settings.ip
         after = await client.ask(flow, 'after')
         self.assertEqual(before.split()[1], after.split()[1])
@@ -72,10 +72,10 @@
         before = await client.ask(flow, 'before')
         programs = [*self.fleet.entries, *self.fleet.sidecars]
         for program in programs:
-            program.end()
+            program.kill()
         for program in programs:
             program.start()
-        await self.fleet.settle()
+        await self.fleet.wait_until_ready()
         after = await client.ask(flow, 'after')
         self.assertEqual(before.split()[1], after.split()[1])
 
@@ -90,23 +90,23 @@
         host.close()
         await asyncio.sleep(0.05)
         await host.open()
-        with self.assertRaisesRegex(Refused, 'reset'):
+        with self.assertRaisesRegex(FlowFailed, 'reset'):
             await client.ask(flow, 'after')
 
     async def test_flow_of_failed_machine_is_reset(self) -> None:
         """Long before the host's record expires; also by a restarted entry."""
         client = self.fleet.clients[0]
         for restarted in (False, True):
-            await self.fleet.settle()
+            await self.fleet.wait_until_ready()
             flow = await client.connect(TARGET)
             body = await client.ask(flow, 'before')
             index = int(body.split()[1].removeprefix('i-'))
             self.fleet.hosts[index].close()
-            self.fleet.sidecars[index].end()
+            self.fleet.sidecars[index].kill()
             if restarted:
-                self.fleet.entries[0].end()
+                self.fleet.entries[0].kill()
                 self.fleet.entries[0].start()
-            with self.assertRaisesRegex(Refused, 'reset'):
+            with self.assertRaisesRegex(FlowFailed, 'reset'):
                 await client.ask(flow, 'after')
             await self.fleet.hosts[index].open()
             self.fleet.sidecars[index].start()
@@ -119,33 +119,33 @@
         index = int(first.split()[1].removeprefix('i-'))
         await self.fleet.register(index, draining=True)
         await asyncio.sleep(_MAX_APPLY_S)
-        accepted = len(self.fleet.hosts[index].taken)
+        accepted = len(self.fleet.hosts[index].accepted)
         for number in range(20):
             await self.fleet.clients[number % 2].request(TARGET, f'd-{number}')
-        self.assertEqual(len(self.fleet.hosts[index].taken), accepted)
+        self.assertEqual(len(self.fleet.hosts[index].accepted), accepted)
         self.assertEqual(await client.ask(flow, 'last'), f'last i-{index}')
 
     async def test_evacuated_data_centre_gets_no_new_flows(self) -> None:
         """Data centre a is evacuated; it has hosts 0 and 2."""
-        await self.fleet.take_out('a')
+        await self.fleet.evacuate('a')
         await asyncio.sleep(_MAX_APPLY_S)
-        before = [len(host.taken) for host in self.fleet.hosts]
+        before = [len(host.accepted) for host in self.fleet.hosts]
         for number in range(20):
             await self.fleet.clients[number % 2].request(TARGET, f'o-{number}')
-        after = [len(host.taken) for host in self.fleet.hosts]
+        after = [len(host.accepted) for host in self.fleet.hosts]
         self.assertEqual((after[0], after[2]), (before[0], before[2]))
 
     async def test_unreadable_store_entry_hides_no_other(self) -> None:
         """Other clients have written invalid records beside those of hosts."""
-        broken = (b'\xff\x00', b'[]', b'{"Service": 7}', b'{"Service": "x"}')
-        for number, content in enumerate(broken):
+        corrupt = (b'\xff\x00', b'[]', b'{"Service": 7}', b'{"Service": "x"}')
+        for number, content in enumerate(corrupt):
             await self.fleet.store.put(f'{HOSTS_PREFIX}0-{number}', content)
         await self.fleet.register(2, draining=True)
         await asyncio.sleep(_MAX_APPLY_S)
-        accepted = len(self.fleet.hosts[2].taken)
+        accepted = len(self.fleet.hosts[2].accepted)
         for number in range(10):
             await self.fleet.clients[0].request(TARGET, f'b-{number}')
-        self.assertEqual(len(self.fleet.hosts[2].taken), accepted)
+        self.assertEqual(len(self.fleet.hosts[2].accepted), accepted)
 
     async def test_change_after_compaction_is_in_force(self) -> None:
         """The watch gets status 410 and lists all keys again."""
@@ -179,7 +179,7 @@
         self.fleet.store.silent = True
         await asyncio.sleep(_MAX_APPLY_S)
         entry = self.fleet.entries[1]
-        entry.end()
+        entry.kill()
         entry.start()
         await self.eventually(
             lambda: _serves(self.fleet.clients[1], TARGET),
@@ -216,7 +216,7 @@
     async def test_planned_stop_cuts_no_request(self) -> None:
         """Sidecars get SIGTERM while a host processes a request."""
         for host in self.fleet.hosts:
-            host.work_s = 0.5
+            host.processing_s = 0.5
         client = self.fleet.clients[0]
         flow = await client.connect(TARGET)
         asking = asyncio.create_task(client.ask(flow, 'long'))
@@ -245,7 +245,7 @@
 async def _serves(client: ClientStandIn, target: tuple[str, int]) -> bool:
     try:
         await client.request(target, 'probe')
-    except Refused:
+    except FlowFailed:
         return False
     return True
 
--- a/tools/start_cost.py
+++ b/tools/start_cost.py
@@ -90,12 +90,12 @@
         fleet = Fleet(Path(folder), entry_count=1, host_count=1)
         await fleet.open()
         try:
-            await fleet.settle()
+            await fleet.wait_until_ready()
             group = fleet.entries if role == 'entry' else fleet.sidecars
-            group[0].end()
+            group[0].kill()
             started_at = time.monotonic()
             group[0].start()
-            await fleet.settle()
+            await fleet.wait_until_ready()
             return time.monotonic() - started_at
         finally:
             await fleet.close()
