--- a/siskinbank/admission/arrivals.py
+++ b/siskinbank/admission/arrivals.py
@@ -21,8 +21,8 @@
     'RefusalBackoff',
     'max_wait_s',
     'no_host_is_final',
-    'refusal_is_final',
     'queueing_decision',
+    'refusal_is_final',
 )
 
 # Length of the sliding window in seconds, with room for the jitter between the
--- a/siskinbank/admission/upstream.py
+++ b/siskinbank/admission/upstream.py
@@ -3,9 +3,9 @@
 from collections.abc import Callable, Hashable, Iterable
 from dataclasses import dataclass
 
-from siskinbank.admission.judge import HealthMonitor, Verdict
+from siskinbank.admission.flow_suspension import FlowSuspension
+from siskinbank.admission.health_monitor import HealthMonitor, Verdict
 from siskinbank.admission.limit import ClimbingLimit
-from siskinbank.admission.places import FlowSuspension
 from siskinbank.config.site import Service
 from siskinbank.kernel.clock import Clock
 
@@ -40,19 +40,19 @@
     """Admission state of one upstream, and the monitor that updates it."""
 
     limits: Limits
-    places: FlowSuspension
-    judge: HealthMonitor
+    flow_suspension: FlowSuspension
+    health_monitor: HealthMonitor
     owned_flows: OwnedFlows
 
     @property
     def load(self) -> int:
         """The open connections, without those that are closing."""
-        return self.limits.connections.in_use - self.places.closing
+        return self.limits.connections.in_use - self.flow_suspension.closing
 
     def turn_cold(self) -> None:
         """Restart from the cold limits and suspend the open flows."""
         self.limits.restart()
-        self.places.suspend(self.owned_flows())
+        self.flow_suspension.suspend(self.owned_flows())
 
 
 def make_admission(
--- a/siskinbank/choice/placement.py
+++ b/siskinbank/choice/placement.py
@@ -10,7 +10,7 @@
 
 from __future__ import annotations
 
-from siskinbank.beliefs.hosts import SILENT_S, TrackedHost
+from siskinbank.tracking.hosts import SILENT_S, TrackedHost
 
 __all__ = ('MAX_CANDIDATES', 'candidates', 'rank_hosts')
 
--- a/siskinbank/directory/beliefs.py
+++ b/siskinbank/directory/failure_detection.py
@@ -3,9 +3,9 @@
 It combines the live list with the time for which an instance was silent.
 """
 
-from siskinbank.peers.ages import DataCentreAges
-from siskinbank.directory.roster import Listing, Record, Roster
 from siskinbank.directory.member_status import MemberStatusTable
+from siskinbank.directory.roster import Listing, Record, Roster
+from siskinbank.peers.ages import DataCentreAges
 
 __all__ = ('find_gone',)
 
--- a/siskinbank/directory/follower.py
+++ b/siskinbank/directory/follower.py
@@ -7,6 +7,9 @@
 import random
 
 from siskinbank.config.sections import Manifest
+from siskinbank.directory.backoff import Backoff
+from siskinbank.directory.client import PlatformClient, PlatformError
+from siskinbank.directory.listing import ListReader
 from siskinbank.kernel import events
 from siskinbank.kernel.metrics import Metrics
 from siskinbank.kernel.reasons import Ignored
@@ -17,9 +20,6 @@
     read_interval,
     reader_rank,
 )
-from siskinbank.directory.backoff import Backoff
-from siskinbank.directory.client import PlatformClient, PlatformError
-from siskinbank.directory.listing import ListReader
 
 __all__ = ('PlatformFollower',)
 
--- a/siskinbank/directory/member_status.py
+++ b/siskinbank/directory/member_status.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from siskinbank.wire.checks import is_valid_name, is_number_below
+from siskinbank.wire.checks import is_number_below, is_valid_name
 
 __all__ = (
     'MemberState',
--- a/siskinbank/directory/roster.py
+++ b/siskinbank/directory/roster.py
@@ -18,7 +18,7 @@
 from siskinbank.config.site import Address
 from siskinbank.directory.live import Instance, InstanceState, Role
 from siskinbank.util import digest64
-from siskinbank.wire.checks import is_valid_name, is_number_below
+from siskinbank.wire.checks import is_number_below, is_valid_name
 from siskinbank.wire.packets import pack_address, unpack_address
 
 __all__ = (
--- a/siskinbank/directory/view.py
+++ b/siskinbank/directory/view.py
@@ -4,9 +4,9 @@
 
 from siskinbank.config.sections import DocumentKey, Manifest
 from siskinbank.config.site import Service, Site
+from siskinbank.directory.live import Instance, InstanceState, Role
 from siskinbank.kernel import events
 from siskinbank.kernel.clock import Clock
-from siskinbank.directory.live import Instance, InstanceState, Role
 
 __all__ = ('FleetView',)
 
--- a/siskinbank/entry/context.py
+++ b/siskinbank/entry/context.py
@@ -2,12 +2,12 @@
 
 from dataclasses import dataclass
 
-from siskinbank.choice.homes import PrimaryHosts
+from siskinbank.choice.primary_hosts import PrimaryHosts
 from siskinbank.choice.router import Router
+from siskinbank.directory.view import FleetView
 from siskinbank.entry.links import RequestLinks
 from siskinbank.kernel.process import ProcessContext
 from siskinbank.peers.datagrams import PeerSocket
-from siskinbank.directory.view import FleetView
 from siskinbank.settings import EntrySettings
 
 __all__ = ('EntryContext',)
--- a/siskinbank/entry/daemon.py
+++ b/siskinbank/entry/daemon.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from siskinbank.choice.homes import PrimaryHosts
+from siskinbank.choice.primary_hosts import PrimaryHosts
 from siskinbank.choice.router import Router
 from siskinbank.entry.context import EntryContext
 from siskinbank.entry.links import RequestLinks
--- a/siskinbank/entry/flow_searches.py
+++ b/siskinbank/entry/flow_searches.py
@@ -55,8 +55,8 @@
         '_outstanding',
         'absent',
         'first',
-        'started_at',
         'queued_packets',
+        'started_at',
     )
 
     def __init__(self, started_at: float, first: bytes) -> None:
--- a/siskinbank/ingress/fou.py
+++ b/siskinbank/ingress/fou.py
@@ -4,9 +4,9 @@
 from typing import cast
 
 from siskinbank.config.site import Address, Service
-from siskinbank.entry.cache import Receiver, Route, RouteCache
 from siskinbank.entry.context import EntryContext
-from siskinbank.entry.searches import OwnerSearches
+from siskinbank.entry.owner_searches import OwnerSearches
+from siskinbank.entry.route_cache import Receiver, Route, RouteCache
 from siskinbank.ingress.registry import (
     IngressHandle,
     IngressPlugin,
@@ -21,10 +21,10 @@
 from siskinbank.wire.packets import (
     MAX_PACKET_BYTES,
     InnerPacket,
+    flow_target,
     pack_address,
     parse_inner,
     plain_flow,
-    flow_target,
     unpack_address,
 )
 
--- a/siskinbank/lab/bearing.py
+++ b/siskinbank/lab/bearing.py
@@ -3,7 +3,7 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-from siskinbank.admission.judge import Health, LoadReport
+from siskinbank.admission.health_monitor import Health, LoadReport
 from siskinbank.config.site import Address
 from siskinbank.lab.pool import FakeUpstream, Pool, PoolSidecar
 from siskinbank.wire.packets import InnerPacket
@@ -168,10 +168,10 @@
             return
         now = pool.clock.now
         if upstream.is_up(now):
-            admission.judge.note_answer(upstream.answer_seconds(now))
+            admission.health_monitor.note_answer(upstream.answer_seconds(now))
         else:
-            admission.judge.note_failure()
-        admission.judge.note_report(upstream.report(now))
+            admission.health_monitor.note_failure()
+        admission.health_monitor.note_report(upstream.report(now))
 
     sidecar.process.timers.every(_WATCH_SECONDS, watch, jitter=0.1)
     return sidecar
--- a/siskinbank/lab/control.py
+++ b/siskinbank/lab/control.py
@@ -7,12 +7,12 @@
 from dataclasses import asdict
 from typing import Any
 
+from siskinbank.directory.live import InstanceState
 from siskinbank.lab.experiment import ExperimentReport, at_most
 from siskinbank.lab.memory import bare_kilobytes, import_costs
 from siskinbank.lab.node_state import measure_state
 from siskinbank.lab.real_fleet import measure_real
 from siskinbank.lab.virtual_fleet import VirtualFleet
-from siskinbank.directory.live import InstanceState
 from siskinbank.util import canonical_json
 
 __all__ = ('measure_control',)
--- a/siskinbank/lab/membership.py
+++ b/siskinbank/lab/membership.py
@@ -2,11 +2,11 @@
 
 from typing import Any
 
+from siskinbank.directory.failure_detection import SILENT_GONE_SECONDS
+from siskinbank.directory.live import InstanceState
 from siskinbank.lab.experiment import ExperimentReport, at_least, at_most
-from siskinbank.lab.virtual import VirtualNode
 from siskinbank.lab.virtual_fleet import VirtualFleet
-from siskinbank.directory.beliefs import SILENT_GONE_SECONDS
-from siskinbank.directory.live import InstanceState
+from siskinbank.lab.virtual_node import VirtualNode
 
 __all__ = ('measure_membership',)
 
--- a/siskinbank/lab/node_state.py
+++ b/siskinbank/lab/node_state.py
@@ -8,12 +8,12 @@
 
 import msgpack
 
+from siskinbank.directory.roster import Roster, parse_record, record_of
+from siskinbank.directory.store import DocumentStore, judge_document
 from siskinbank.kernel.findings import Findings
 from siskinbank.kernel.metrics import Metrics
-from siskinbank.lab.virtual import CountingLog
 from siskinbank.lab.virtual_fleet import VirtualFleet
-from siskinbank.directory.roster import Roster, parse_record, record_of
-from siskinbank.directory.store import DocumentStore, judge_document
+from siskinbank.lab.virtual_node import CountingLog
 
 __all__ = ('measure_state',)
 
--- a/siskinbank/lab/pool.py
+++ b/siskinbank/lab/pool.py
@@ -7,9 +7,10 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from siskinbank.choice.homes import PrimaryHosts
+from siskinbank.choice.primary_hosts import PrimaryHosts
 from siskinbank.choice.router import Router
 from siskinbank.config.site import Address, Site
+from siskinbank.directory.view import FleetView
 from siskinbank.entry.context import EntryContext
 from siskinbank.entry.links import RequestLinks
 from siskinbank.ingress.fou import PacketIngress
@@ -19,7 +20,6 @@
 from siskinbank.lab.network import FakeNetwork
 from siskinbank.peers.connect import PeerStreams
 from siskinbank.peers.datagrams import PeerSocket
-from siskinbank.directory.view import FleetView
 from siskinbank.settings import EntrySettings, SidecarSettings
 from siskinbank.sidecar.context import SidecarContext
 from siskinbank.sidecar.packets import PacketHandler
--- a/siskinbank/lab/request_rig.py
+++ b/siskinbank/lab/request_rig.py
@@ -11,23 +11,23 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from siskinbank.choice.homes import PrimaryHosts
+from siskinbank.choice.primary_hosts import PrimaryHosts
 from siskinbank.choice.router import Router
 from siskinbank.config.models import DocumentModel
 from siskinbank.config.sections import Manifest, make_site
 from siskinbank.config.site import Address, Site
+from siskinbank.directory.view import FleetView
 from siskinbank.entry.context import EntryContext
 from siskinbank.entry.links import RequestLinks
 from siskinbank.ingress.http import start_http
 from siskinbank.ingress.registry import IngressHandle
 from siskinbank.kernel.process import ProcessContext
 from siskinbank.kernel.timers import TimerService
-from siskinbank.lab.plain_streams import PlainStreams
 from siskinbank.lab.faulty_link import FaultyLink, LinkFaults
+from siskinbank.lab.plain_streams import PlainStreams
 from siskinbank.lab.ports import free_ports
 from siskinbank.lab.request_upstream import RequestUpstream
 from siskinbank.peers.datagrams import PeerSocket
-from siskinbank.directory.view import FleetView
 from siskinbank.settings import EntrySettings, SidecarSettings
 from siskinbank.sidecar.context import SidecarContext
 from siskinbank.sidecar.requests import RequestServer
--- a/siskinbank/lab/request_stops.py
+++ b/siskinbank/lab/request_stops.py
@@ -18,7 +18,7 @@
     body_of,
 )
 from siskinbank.lab.request_rig import RequestRig
-from siskinbank.sidecar.homes import SETTLE_SECONDS
+from siskinbank.sidecar.primary_hosts import SETTLE_SECONDS
 
 __all__ = ('measure_stops',)
 
--- a/siskinbank/lab/requests.py
+++ b/siskinbank/lab/requests.py
@@ -24,7 +24,7 @@
 from siskinbank.lab.request_stops import measure_stops
 from siskinbank.lab.request_storm import measure_storm
 from siskinbank.lab.virtual_loop import run_virtual
-from siskinbank.sidecar.homes import SETTLE_SECONDS
+from siskinbank.sidecar.primary_hosts import SETTLE_SECONDS
 from siskinbank.wire.headers import KEY_HEADER, TICKET_HEADER
 
 __all__ = ('measure_requests',)
--- a/siskinbank/lab/traffic.py
+++ b/siskinbank/lab/traffic.py
@@ -15,8 +15,8 @@
 from siskinbank.wire.packets import parse_inner
 
 __all__ = (
-    'CALLER',
     'Arrival',
+    'CALLER',
     'SiteShape',
     'Traffic',
     'draw_arrivals',
--- a/siskinbank/lab/virtual_fleet.py
+++ b/siskinbank/lab/virtual_fleet.py
@@ -9,9 +9,13 @@
 from siskinbank.config.models import DocumentModel
 from siskinbank.config.sections import Manifest, split_sections
 from siskinbank.config.site import Address
+from siskinbank.directory.backoff import Backoff
+from siskinbank.directory.listing import ListReader
+from siskinbank.directory.live import Instance, InstanceState, Role
+from siskinbank.directory.roster import Roster, record_of
 from siskinbank.kernel.clock import FakeClock
 from siskinbank.lab.network import FakeNetwork
-from siskinbank.lab.virtual import VirtualNode
+from siskinbank.lab.virtual_node import VirtualNode
 from siskinbank.peers.gossip import Identity
 from siskinbank.peers.readers import (
     READ_SECONDS,
@@ -19,10 +23,6 @@
     read_interval,
     reader_rank,
 )
-from siskinbank.directory.backoff import Backoff
-from siskinbank.directory.listing import ListReader
-from siskinbank.directory.live import Instance, InstanceState, Role
-from siskinbank.directory.roster import Roster, record_of
 from siskinbank.util import hex_digest
 
 __all__ = ('CENTRES', 'VirtualFleet', 'VirtualPlatform')
--- a/siskinbank/lab/virtual.py
+++ b/siskinbank/lab/virtual_node.py
@@ -7,6 +7,7 @@
 
 from siskinbank.config.sections import DocumentKey, Manifest
 from siskinbank.config.site import Address, Site
+from siskinbank.directory.store import DocumentStore, judge_document
 from siskinbank.kernel import events
 from siskinbank.kernel.clock import FakeClock
 from siskinbank.kernel.findings import Findings
@@ -14,7 +15,6 @@
 from siskinbank.lab.network import FakeNetwork
 from siskinbank.peers.datagrams import PeerSocket
 from siskinbank.peers.gossip import Gossip, Identity
-from siskinbank.directory.store import DocumentStore, judge_document
 from siskinbank.wire.keys import KEY_BYTES, Key, KeyRing
 
 __all__ = ('CountingLog', 'VirtualNode', 'VirtualTimers')
--- a/siskinbank/node.py
+++ b/siskinbank/node.py
@@ -5,14 +5,14 @@
 from dataclasses import dataclass
 
 from siskinbank.config.site import Site
-from siskinbank.kernel.process import ProcessContext
-from siskinbank.peers.datagrams import PeerSocket
-from siskinbank.peers.gossip import Gossip, Identity
-from siskinbank.peers.refusals import RefusalLog
 from siskinbank.directory.client import PlatformClient
 from siskinbank.directory.follower import PlatformFollower
 from siskinbank.directory.store import DocumentStore
 from siskinbank.directory.view import FleetView
+from siskinbank.kernel.process import ProcessContext
+from siskinbank.peers.datagrams import PeerSocket
+from siskinbank.peers.gossip import Gossip, Identity
+from siskinbank.peers.refusals import RefusalLog
 from siskinbank.settings import ProcessSettings
 from siskinbank.status import start_admin
 from siskinbank.wire.keyfile import follow_keys
--- a/siskinbank/peers/document_fetch.py
+++ b/siskinbank/peers/document_fetch.py
@@ -6,12 +6,12 @@
 
 from siskinbank.config.sections import DocumentKey
 from siskinbank.config.site import Address
+from siskinbank.directory.store import DocumentStore
 from siskinbank.kernel.metrics import Metrics
 from siskinbank.peers.rate import TokenBucket
 from siskinbank.peers.timing import TimerSource
 from siskinbank.peers.transfer import PieceCollector, Send, serve_ask
-from siskinbank.directory.store import DocumentStore
-from siskinbank.wire.gossip import PieceRequest, Piece
+from siskinbank.wire.gossip import Piece, PieceRequest
 
 __all__ = ('DocumentFetch',)
 
--- a/siskinbank/peers/gossip.py
+++ b/siskinbank/peers/gossip.py
@@ -13,6 +13,15 @@
 
 from siskinbank.config.sections import DocumentKey
 from siskinbank.config.site import Address, Site
+from siskinbank.directory.failure_detection import find_gone
+from siskinbank.directory.member_status import (
+    MemberState,
+    MemberStatus,
+    MemberStatusTable,
+    parse_member_status,
+)
+from siskinbank.directory.roster import Listing, Record, Roster
+from siskinbank.directory.store import DocumentStore
 from siskinbank.kernel import events
 from siskinbank.kernel.metrics import Metrics
 from siskinbank.kernel.reasons import Drop
@@ -25,23 +34,14 @@
 from siskinbank.peers.rosters import RosterSync, parse_records
 from siskinbank.peers.timing import TimerSource
 from siskinbank.peers.update_queue import UpdateQueue
-from siskinbank.directory.beliefs import find_gone
-from siskinbank.directory.roster import Listing, Record, Roster
-from siskinbank.directory.store import DocumentStore
-from siskinbank.directory.member_status import (
-    MemberState,
-    MemberStatus,
-    MemberStatusTable,
-    parse_member_status,
-)
 from siskinbank.wire.gossip import (
     FRESH,
     REPLY_WANTED,
     Announce,
-    PieceRequest,
     Bucket,
     Buckets,
     Piece,
+    PieceRequest,
 )
 from siskinbank.wire.messages import Message
 
--- a/siskinbank/peers/lagging.py
+++ b/siskinbank/peers/lagging.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from siskinbank.wire.checks import is_valid_name, is_number_below
+from siskinbank.wire.checks import is_number_below, is_valid_name
 
 __all__ = ('LaggingProcess', 'LaggingProcesses')
 
--- a/siskinbank/peers/readers.py
+++ b/siskinbank/peers/readers.py
@@ -3,8 +3,8 @@
 import functools
 import random
 
-from siskinbank.directory.roster import Listing, Record, Roster
 from siskinbank.directory.member_status import MemberStatusTable
+from siskinbank.directory.roster import Listing, Record, Roster
 from siskinbank.util import digest64
 
 __all__ = (
--- a/siskinbank/peers/transfer.py
+++ b/siskinbank/peers/transfer.py
@@ -4,13 +4,13 @@
 from dataclasses import dataclass, field
 
 from siskinbank.config.site import Address
+from siskinbank.directory.store import MAX_VALUE_BYTES, DocumentStore
 from siskinbank.kernel.clock import Clock
 from siskinbank.kernel.metrics import Metrics
 from siskinbank.kernel.reasons import Ignored
 from siskinbank.peers.rate import TokenBucket
-from siskinbank.directory.store import MAX_VALUE_BYTES, DocumentStore
 from siskinbank.wire.checks import is_number_below
-from siskinbank.wire.gossip import PieceRequest, Piece
+from siskinbank.wire.gossip import Piece, PieceRequest
 from siskinbank.wire.messages import Message
 
 __all__ = ('PIECE_BYTES', 'PieceCollector', 'serve_ask')
--- a/siskinbank/platform/store.py
+++ b/siskinbank/platform/store.py
@@ -14,17 +14,17 @@
 
 __all__ = (
     'CONFIGURATION_KEY',
+    'Change',
     'EVACUATIONS_PREFIX',
     'HOSTS_PREFIX',
     'OPERATOR_PREFIX',
-    'Change',
     'Page',
-    'watch_path',
     'key_path',
     'page_path',
     'read_change',
     'read_page',
     'read_watch',
+    'watch_path',
 )
 
 # Key prefix of host entries; the host id follows.
--- a/siskinbank/relay/entry.py
+++ b/siskinbank/relay/entry.py
@@ -11,7 +11,6 @@
     no_host_is_final,
     refusal_is_final,
 )
-from siskinbank.beliefs.hosts import TrackedHost, HostTable
 from siskinbank.choice.placement import candidates, rank_hosts
 from siskinbank.entry.flow_cache import CachedFlow, FlowCache
 from siskinbank.platform.packets import (
@@ -27,12 +26,13 @@
     sequence_numbers,
 )
 from siskinbank.relay import messages
+from siskinbank.relay.configuration_transfer import ConfigurationTransfer
 from siskinbank.relay.datagrams import open_udp_socket, read_datagrams
+from siskinbank.relay.flow_searcher import FlowSearcher
 from siskinbank.relay.follower import StoreFollower
 from siskinbank.relay.gossip import Gossip
-from siskinbank.relay.handover import ConfigurationTransfer
 from siskinbank.relay.node import Node
-from siskinbank.relay.seeker import FlowSearcher
+from siskinbank.tracking.hosts import HostTable, TrackedHost
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
@@ -136,7 +136,7 @@
         if self._searcher.is_lost(key, flow.ip):
             self._reset(packet, 'host-gone')
             return
-        wrap = messages.pack_forward if flow.confirmed else messages.search
+        wrap = messages.pack_forward if flow.confirmed else messages.pack_search
         self._node.send(flow.ip, wrap(packet))
 
     # First packets.
@@ -300,7 +300,7 @@
     def _handle_absent(self, raw: bytes, ip: str) -> None:
         key, _, _ = messages.read_flow_note(raw)
         packet = raw[messages.FLOW_NOTE_BYTES :]
-        if self._searcher.note_absent(key, ip):
+        if self._searcher.add_absent(key, ip):
             return
         flow = self._flows.get(key)
         if flow and flow.ip == ip and len(packet) >= HEAD_BYTES:
--- a/siskinbank/relay/openings.py
+++ b/siskinbank/relay/flow_admission.py
@@ -6,9 +6,9 @@
 
 from siskinbank.admission import reasons
 from siskinbank.admission.arrivals import queueing_decision
-from siskinbank.admission.waiting_room import (
-    QueuedOpening,
+from siskinbank.admission.pending_queue import (
     PendingQueue,
+    QueuedOpening,
     sent_ago_s,
 )
 from siskinbank.platform.packets import (
@@ -18,16 +18,16 @@
     sequence_numbers,
 )
 from siskinbank.relay import messages
-from siskinbank.sidecar.held_flows import PendingPacket
+from siskinbank.sidecar.tracked_flows import PendingPacket
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from siskinbank.beliefs.own_host import OwnHost
     from siskinbank.relay.node import Node
-    from siskinbank.relay.reports import StatusReporter
-    from siskinbank.sidecar.held_flows import TrackedFlow
+    from siskinbank.relay.status_reporter import StatusReporter
+    from siskinbank.sidecar.tracked_flows import TrackedFlow
+    from siskinbank.tracking.own_host import OwnHost
 
 __all__ = ('FlowAdmission', 'check_packet_head')
 
--- a/siskinbank/relay/seeker.py
+++ b/siskinbank/relay/flow_searcher.py
@@ -9,7 +9,6 @@
 
 from _socket import inet_aton, inet_ntoa
 
-from siskinbank.beliefs.hosts import SILENT_S
 from siskinbank.entry.flow_searches import (
     REPEAT_INTERVAL_S,
     FlowSearch,
@@ -19,16 +18,17 @@
 from siskinbank.platform.packets import describe_flow, route_key
 from siskinbank.relay import messages
 from siskinbank.relay.loop import NEVER
+from siskinbank.tracking.hosts import SILENT_S
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from siskinbank.beliefs.hosts import TrackedHost, HostTable
     from siskinbank.platform.records import Route
     from siskinbank.relay.follower import StoreFollower
     from siskinbank.relay.gossip import Gossip
     from siskinbank.relay.node import Node
+    from siskinbank.tracking.hosts import HostTable, TrackedHost
 
 __all__ = ('FlowSearcher',)
 
--- a/siskinbank/relay/follower.py
+++ b/siskinbank/relay/follower.py
@@ -2,11 +2,6 @@
 
 from __future__ import annotations
 
-from siskinbank.beliefs.configuration import Configuration
-from siskinbank.beliefs.freshness import (
-    StoreAvailability,
-    pause_after_failures_s,
-)
 from siskinbank.platform.documents import DocumentError
 from siskinbank.platform.records import HostRecord, decode_host
 from siskinbank.platform.store import (
@@ -15,14 +10,19 @@
     HOSTS_PREFIX,
     OPERATOR_PREFIX,
     Change,
-    watch_path,
     page_path,
     read_page,
     read_watch,
+    watch_path,
 )
 from siskinbank.relay.http import Client
 from siskinbank.relay.log import without_spaces
 from siskinbank.relay.loop import NEVER
+from siskinbank.tracking.configuration import Configuration
+from siskinbank.tracking.store_reads import (
+    StoreAvailability,
+    pause_after_failures_s,
+)
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
--- a/siskinbank/relay/gossip.py
+++ b/siskinbank/relay/gossip.py
@@ -4,22 +4,25 @@
 
 from _socket import inet_aton, inet_ntoa
 
-from siskinbank.beliefs.freshness import (
+from siskinbank.relay import messages
+from siskinbank.relay.hello_schedule import (
+    HELLO_CHECK_INTERVAL_S,
+    HelloSchedule,
+)
+from siskinbank.relay.loop import NEVER
+from siskinbank.relay.records import record_for
+from siskinbank.tracking.store_reads import (
     hosts_read_age_s,
     operator_read_age_s,
     reader_rank,
 )
-from siskinbank.relay import messages
-from siskinbank.relay.greetings import HELLO_CHECK_INTERVAL_S, HelloSchedule
-from siskinbank.relay.loop import NEVER
-from siskinbank.relay.records import record_for
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
-    from siskinbank.beliefs.hosts import HostTable
+    from siskinbank.relay.configuration_transfer import ConfigurationTransfer
     from siskinbank.relay.follower import StoreFollower
-    from siskinbank.relay.handover import ConfigurationTransfer
     from siskinbank.relay.node import Node
+    from siskinbank.tracking.hosts import HostTable
 
 __all__ = ('Gossip',)
 
--- a/siskinbank/relay/messages.py
+++ b/siskinbank/relay/messages.py
@@ -22,16 +22,16 @@
     'ASK_CONFIGURATION',
     'ASK_FLOWS',
     'Announcement',
-    'FORWARD',
     'CONFIGURATION',
     'DRAINING',
     'FLOW_NOTE_BYTES',
+    'FORWARD',
     'HELD',
+    'HELD_UNKNOWN',
     'HELLO',
-    'QUEUED',
-    'MAX_WAIT_MS',
     'MAX_KEYS',
     'MAX_RELAYED',
+    'MAX_WAIT_MS',
     'Malformed',
     'NOT_HELD',
     'OPEN',
@@ -39,28 +39,28 @@
     'OUT',
     'Opening',
     'PEERS',
+    'QUEUED',
     'RECORD',
-    'RELAYED',
-    'REGISTERED',
     'REFUSED',
+    'REGISTERED',
+    'RELAYED',
     'Record',
     'SEARCH',
     'STATUS',
     'Status',
-    'HELD_UNKNOWN',
-    'pack_forward',
     'digest',
-    'pack_flow_note',
     'pack_addresses',
+    'pack_flow_note',
+    'pack_forward',
     'pack_keys',
     'pack_piece',
+    'pack_search',
     'read_flow_note',
     'read_keys',
     'read_peers',
     'read_piece',
     'read_relayed',
     'relayed',
-    'search',
     'unpack_addresses',
     'wait_ms',
 )
@@ -146,7 +146,7 @@
     return _CARRY_HEAD + packet
 
 
-def search(packet: bytes) -> bytes:
+def pack_search(packet: bytes) -> bytes:
     """Return a SEARCH datagram with a packet whose host is unknown."""
     return _SEARCH_HEAD + packet
 
--- a/siskinbank/relay/node.py
+++ b/siskinbank/relay/node.py
@@ -14,9 +14,9 @@
 from siskinbank.platform.documents import DocumentError
 from siskinbank.platform.packets import (
     FLOW_KEY,
+    build_reset,
     client_address,
     describe_flow,
-    build_reset,
 )
 from siskinbank.platform.settings import READY_PATH, read_settings
 from siskinbank.relay.datagrams import open_udp_socket, read_datagrams
--- a/siskinbank/relay/request_watch.py
+++ b/siskinbank/relay/request_tracker.py
@@ -8,9 +8,9 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from siskinbank.beliefs.own_host import OwnHost
     from siskinbank.relay.node import Node
-    from siskinbank.sidecar.held_flows import TrackedFlow, Request
+    from siskinbank.sidecar.tracked_flows import Request, TrackedFlow
+    from siskinbank.tracking.own_host import OwnHost
 
 __all__ = ('RequestTracker',)
 
--- a/siskinbank/relay/sidecar.py
+++ b/siskinbank/relay/sidecar.py
@@ -5,8 +5,6 @@
 from _socket import inet_ntoa
 from time import time
 
-from siskinbank.beliefs.freshness import sidecar_should_read
-from siskinbank.beliefs.own_host import OwnHost
 from siskinbank.platform.packets import (
     BOUNCED,
     FIN,
@@ -15,10 +13,10 @@
     MAX_PACKET_BYTES,
     RST,
     SYN,
-    reverse_flow_key,
+    clear_bounced,
     client_address,
     flags_of,
-    clear_bounced,
+    reverse_flow_key,
     sequence_numbers,
 )
 from siskinbank.relay import messages
@@ -27,13 +25,15 @@
     open_udp_socket,
     read_datagrams,
 )
+from siskinbank.relay.flow_admission import FlowAdmission, check_packet_head
 from siskinbank.relay.follower import StoreFollower
 from siskinbank.relay.node import Node
-from siskinbank.relay.openings import FlowAdmission, check_packet_head
 from siskinbank.relay.records import record_for
-from siskinbank.relay.reports import StatusReporter
-from siskinbank.relay.request_watch import RequestTracker
-from siskinbank.sidecar.held_flows import TrackedFlow, PendingPacket
+from siskinbank.relay.request_tracker import RequestTracker
+from siskinbank.relay.status_reporter import StatusReporter
+from siskinbank.sidecar.tracked_flows import PendingPacket, TrackedFlow
+from siskinbank.tracking.own_host import OwnHost
+from siskinbank.tracking.store_reads import sidecar_should_read
 
 __all__ = ('Sidecar',)
 
--- a/siskinbank/relay/reports.py
+++ b/siskinbank/relay/status_reporter.py
@@ -5,15 +5,18 @@
 from _socket import inet_aton, inet_ntoa
 
 from siskinbank.relay import messages
-from siskinbank.relay.greetings import HELLO_CHECK_INTERVAL_S, HelloSchedule
+from siskinbank.relay.hello_schedule import (
+    HELLO_CHECK_INTERVAL_S,
+    HelloSchedule,
+)
 from siskinbank.relay.loop import NEVER
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from siskinbank.beliefs.own_host import OwnHost
     from siskinbank.relay.node import Node
+    from siskinbank.tracking.own_host import OwnHost
 
 __all__ = ('StatusReporter',)
 
@@ -41,10 +44,10 @@
         '_count_queued',
         '_data_centre',
         '_entries',
+        '_hello_schedule',
         '_host',
         '_next_entry',
         '_node',
-        '_hello_schedule',
     )
 
     def __init__(
--- a/siskinbank/sidecar/context.py
+++ b/siskinbank/sidecar/context.py
@@ -1,6 +1,6 @@
 """State shared by the parts of one sidecar."""
 
-from siskinbank.admission.judge import Verdict
+from siskinbank.admission.health_monitor import Verdict
 from siskinbank.admission.upstream import (
     Limits,
     OwnedFlows,
@@ -9,12 +9,12 @@
 )
 from siskinbank.choice.router import Router
 from siskinbank.config.site import Host, Service
+from siskinbank.directory.view import FleetView
 from siskinbank.kernel import events
 from siskinbank.kernel.process import ProcessContext
 from siskinbank.kernel.reasons import Refusal
 from siskinbank.peers.connect import PeerStreams
 from siskinbank.peers.datagrams import PeerSocket
-from siskinbank.directory.view import FleetView
 from siskinbank.settings import SidecarSettings
 
 __all__ = ('Limits', 'SidecarContext')
@@ -112,12 +112,12 @@
             )
             self.process.timers.every(
                 _SWEEP_SECONDS,
-                self.admission.places.sweep,
+                self.admission.flow_suspension.sweep,
             )
         self.admission.limits.follow(self.service)
         # The upstream counts as cold when its data centre returns to service.
         if self._was_out_of_service and not self.is_out:
-            self.admission.judge.note_cold()
+            self.admission.health_monitor.note_cold()
             self.admission.turn_cold()
         self._was_out_of_service = self.is_out
 
--- a/siskinbank/sidecar/daemon.py
+++ b/siskinbank/sidecar/daemon.py
@@ -7,10 +7,10 @@
 from siskinbank.peers.connect import PeerStreams
 from siskinbank.settings import SidecarSettings
 from siskinbank.sidecar.context import SidecarContext
+from siskinbank.sidecar.health_checks import start_health_checks
 from siskinbank.sidecar.packets import PacketHandler
 from siskinbank.sidecar.requests import RequestServer
 from siskinbank.sidecar.streams import start_streams
-from siskinbank.sidecar.watch import start_health_checks
 
 __all__ = ('start_sidecar',)
 
--- a/siskinbank/sidecar/once.py
+++ b/siskinbank/sidecar/execution_claims.py
@@ -6,7 +6,7 @@
 from siskinbank.coordination.tickets import OnceRegister, TicketOffice
 from siskinbank.kernel.reasons import Doubt, Refusal
 from siskinbank.sidecar.context import SidecarContext
-from siskinbank.sidecar.homes import PrimaryHostHistory
+from siskinbank.sidecar.primary_hosts import PrimaryHostHistory
 from siskinbank.wire.request_messages import RequestHead
 
 __all__ = ('ExecutionClaims',)
--- a/siskinbank/sidecar/ledger.py
+++ b/siskinbank/sidecar/flow_accounting.py
@@ -36,7 +36,7 @@
         admission = self._context.admission
         if admission is None or not owned.charged:
             return True
-        if admission.places.admits(flow, closing=closing):
+        if admission.flow_suspension.admits(flow, closing=closing):
             return True
         self._metrics.count(Drop.upstream_cold)
         return False
@@ -73,7 +73,7 @@
         for owned in removed_flows:
             if owned.charged:
                 admission.limits.connections.give_back()
-        admission.places.keep_only(self.flows)
+        admission.flow_suspension.keep_only(self.flows)
 
     def _charged_flows(self) -> list[bytes]:
         owned = ((flow, self.flows.get(flow)) for flow in self.flows)
--- a/siskinbank/sidecar/forwarder.py
+++ b/siskinbank/sidecar/forwarder.py
@@ -6,20 +6,20 @@
 from siskinbank.kernel.reasons import Drop
 from siskinbank.sidecar.context import SidecarContext
 from siskinbank.sidecar.flows import Pointer
-from siskinbank.wire.flow_messages import Owner
-from siskinbank.wire.packets import (
-    InnerPacket,
-    pack_address,
-    unpack_address,
-)
 from siskinbank.wire.envelopes import (
+    ADOPT_UNOWNED,
     MAX_CANDIDATES,
     OWNER_NAMED,
-    ADOPT_UNOWNED,
     PROBE,
     UNCACHED,
     Envelope,
 )
+from siskinbank.wire.flow_messages import Owner
+from siskinbank.wire.packets import (
+    InnerPacket,
+    pack_address,
+    unpack_address,
+)
 
 __all__ = ('MAX_HOPS', 'Forwarder')
 
--- a/siskinbank/sidecar/watch.py
+++ b/siskinbank/sidecar/health_checks.py
@@ -7,7 +7,11 @@
 
 import aiohttp
 
-from siskinbank.admission.judge import Health, LoadReport, HealthMonitor
+from siskinbank.admission.health_monitor import (
+    Health,
+    HealthMonitor,
+    LoadReport,
+)
 from siskinbank.config.site import Address
 from siskinbank.sidecar.context import SidecarContext
 
@@ -47,13 +51,13 @@
     """Return a function that starts ``work`` unless it is still running."""
     running: set[asyncio.Task[None]] = set()
 
-    async def run(judge: HealthMonitor) -> None:
-        await work(context, judge)
+    async def run(health_monitor: HealthMonitor) -> None:
+        await work(context, health_monitor)
 
     def start() -> None:
         if running or context.admission is None:
             return
-        task = context.process.start_task(run(context.admission.judge))
+        task = context.process.start_task(run(context.admission.health_monitor))
         running.add(task)
         task.add_done_callback(running.discard)
 
@@ -62,20 +66,20 @@
 
 async def _probe_upstream(
     context: SidecarContext,
-    judge: HealthMonitor,
+    health_monitor: HealthMonitor,
 ) -> None:
     address = probe_address(context)
     if address is not None:
-        await probe(address, judge)
+        await probe(address, health_monitor)
 
 
 async def _fetch_report(
     context: SidecarContext,
-    judge: HealthMonitor,
+    health_monitor: HealthMonitor,
 ) -> None:
     url = context.settings.upstream_health
     if url is not None:
-        judge.note_report(await read_report(url))
+        health_monitor.note_report(await read_report(url))
 
 
 def probe_address(context: SidecarContext) -> Address | None:
@@ -89,7 +93,7 @@
     return (base.hostname or '', base.port or 80)
 
 
-async def probe(address: Address, judge: HealthMonitor) -> None:
+async def probe(address: Address, health_monitor: HealthMonitor) -> None:
     """Open and close one connection and report the result to the judge."""
     loop = asyncio.get_running_loop()
     started = loop.time()
@@ -97,9 +101,9 @@
         async with asyncio.timeout(_PROBE_SECONDS):
             _reader, writer = await asyncio.open_connection(*address)
     except (OSError, TimeoutError):
-        judge.note_failure()
+        health_monitor.note_failure()
         return
-    judge.note_answer(loop.time() - started)
+    health_monitor.note_answer(loop.time() - started)
     writer.close()
 
 
--- a/siskinbank/sidecar/packets.py
+++ b/siskinbank/sidecar/packets.py
@@ -10,22 +10,15 @@
 from siskinbank.sidecar.announcer import Announcer, read_numbers
 from siskinbank.sidecar.context import SidecarContext
 from siskinbank.sidecar.deflection import choose_candidates, try_admit
-from siskinbank.sidecar.exchange import LoadExchange
-from siskinbank.sidecar.forwarder import Forwarder
+from siskinbank.sidecar.flow_accounting import FlowAccounting, service_ends
 from siskinbank.sidecar.flows import OwnedFlow, Pointer, PointerTable
-from siskinbank.sidecar.ledger import FlowAccounting, service_ends
+from siskinbank.sidecar.forwarder import Forwarder
+from siskinbank.sidecar.load_exchange import LoadExchange
+from siskinbank.sidecar.owner_probes import OwnerProbes
 from siskinbank.sidecar.pool_history import PoolHistory
-from siskinbank.sidecar.probes import OwnerProbes
-from siskinbank.wire.loads import PoolLoad
-from siskinbank.wire.flow_messages import Moved, Restarted
-from siskinbank.wire.messages import Message
-from siskinbank.wire.packets import (
-    InnerPacket,
-    parse_inner,
-)
 from siskinbank.wire.envelopes import (
-    OWNER_NAMED,
     ADOPT_UNOWNED,
+    OWNER_NAMED,
     PROBE,
     PROBED,
     UNCACHED,
@@ -33,6 +26,13 @@
     Envelope,
     read_owned,
 )
+from siskinbank.wire.flow_messages import Moved, Restarted
+from siskinbank.wire.loads import PoolLoad
+from siskinbank.wire.messages import Message
+from siskinbank.wire.packets import (
+    InnerPacket,
+    parse_inner,
+)
 
 __all__ = ('PacketHandler',)
 
@@ -188,7 +188,7 @@
         owned.last_seen = self._timers.now
         _update_state(owned, packet)
         if packet.first and self._context.admission is not None:
-            self._context.admission.places.reopen(flow)
+            self._context.admission.flow_suspension.reopen(flow)
         if not self._accounting.may_deliver(flow, owned, closing=owned.closing):
             return True
         self._deliver(packet.raw)
--- a/siskinbank/sidecar/homes.py
+++ b/siskinbank/sidecar/primary_hosts.py
@@ -1,6 +1,6 @@
 """Track for how long this host has been the primary host of a key."""
 
-from siskinbank.choice.homes import primary_candidates, primary_rank
+from siskinbank.choice.primary_hosts import primary_candidates, primary_rank
 from siskinbank.choice.registry import Rank
 from siskinbank.config.site import Host
 from siskinbank.sidecar.context import SidecarContext
--- a/siskinbank/sidecar/requests.py
+++ b/siskinbank/sidecar/requests.py
@@ -10,16 +10,16 @@
 from siskinbank.coordination.tickets import TICKET_SECONDS
 from siskinbank.kernel.reasons import Doubt, Drop, Refusal
 from siskinbank.sidecar.context import SidecarContext
+from siskinbank.sidecar.execution_claims import ExecutionClaims
 from siskinbank.sidecar.fencing import KeyFencer
-from siskinbank.sidecar.once import ExecutionClaims
 from siskinbank.sidecar.slots import SlotQueue
 from siskinbank.sidecar.upstream import UpstreamClient
 from siskinbank.wire.bodies import (
     CHUNK_BYTES,
     INITIAL_CREDIT_BYTES,
     WINDOW_BYTES,
-    BodyTruncatedError,
     BodyReader,
+    BodyTruncatedError,
     SendWindow,
     send_body,
 )
@@ -316,7 +316,7 @@
     def _note_result(self, *, good: bool) -> None:
         admission = self._context.admission
         if admission is not None:
-            admission.judge.note_result(good=good)
+            admission.health_monitor.note_result(good=good)
 
     def _fail(
         self,
--- a/siskinbank/status.py
+++ b/siskinbank/status.py
@@ -5,10 +5,10 @@
 from aiohttp import web
 
 from siskinbank import __version__
+from siskinbank.directory.view import FleetView
 from siskinbank.kernel.process import ProcessContext
 from siskinbank.peers.gossip import Gossip
 from siskinbank.peers.readers import READERS, reader_rank
-from siskinbank.directory.view import FleetView
 from siskinbank.settings import ProcessSettings
 
 __all__ = ('describe', 'start_admin')
--- a/siskinbank/beliefs/hosts.py
+++ b/siskinbank/tracking/hosts.py
@@ -40,14 +40,14 @@
     """
 
     __slots__ = (
-        'last_seen',
         'first_seen',
         'ip',
+        'last_seen',
         'left',
-        'usual_interval_s',
         'packed',
         'pending',
         'status',
+        'usual_interval_s',
     )
 
     def __init__(self, ip: str, status: Status, last_seen: float) -> None:
--- a/siskinbank/beliefs/own_host.py
+++ b/siskinbank/tracking/own_host.py
@@ -53,17 +53,17 @@
         '_record_wait_until',
         '_started_ms',
         '_unreachable_at',
-        'expected_requests',
         'busy',
         'confirmed',
+        'expected_requests',
         'has_accepted_flow',
+        'processing_time',
+        'queue_capacity',
         'record',
         'refusal_backoff',
-        'queue_capacity',
         'service',
         'stopping',
         'version',
-        'processing_time',
     )
 
     def __init__(self, service: int, now: float, started_ms: int) -> None:
--- a/siskinbank/wire/bodies.py
+++ b/siskinbank/wire/bodies.py
@@ -14,12 +14,12 @@
 from siskinbank.wire.request_messages import BodyPart, Credit
 
 __all__ = (
+    'BodyReader',
+    'BodyTruncatedError',
     'CHUNK_BYTES',
     'INITIAL_CREDIT_BYTES',
-    'WINDOW_BYTES',
-    'BodyTruncatedError',
-    'BodyReader',
     'SendWindow',
+    'WINDOW_BYTES',
     'send_body',
 )
 
--- a/siskinbank/wire/envelopes.py
+++ b/siskinbank/wire/envelopes.py
@@ -6,15 +6,15 @@
 from siskinbank.wire.packets import ADDRESS_BYTES, is_plain_data, plain_flow
 
 __all__ = (
+    'ADOPT_UNOWNED',
+    'Envelope',
     'MAX_CANDIDATES',
     'OWNER_NAMED',
-    'ADOPT_UNOWNED',
     'PACKET_KIND',
     'PROBE',
     'PROBED',
     'UNCACHED',
     'WHOLE_POOL',
-    'Envelope',
     'read_owned',
 )
 
--- a/siskinbank/wire/gossip.py
+++ b/siskinbank/wire/gossip.py
@@ -5,13 +5,13 @@
 from siskinbank.wire.messages import Message, message
 
 __all__ = (
-    'FRESH',
-    'REPLY_WANTED',
     'Announce',
-    'PieceRequest',
     'Bucket',
     'Buckets',
+    'FRESH',
     'Piece',
+    'PieceRequest',
+    'REPLY_WANTED',
 )
 
 #: The sender requests an announcement in reply.
--- a/siskinbank/wire/packets.py
+++ b/siskinbank/wire/packets.py
@@ -9,15 +9,15 @@
 from siskinbank.config.site import Address
 
 __all__ = (
-    'MAX_PACKET_BYTES',
     'ADDRESS_BYTES',
     'InnerPacket',
+    'MAX_PACKET_BYTES',
     'flow_number',
+    'flow_target',
     'is_plain_data',
     'pack_address',
     'parse_inner',
     'plain_flow',
-    'flow_target',
     'unpack_address',
 )
 
--- a/tests/admission/test_arrivals.py
+++ b/tests/admission/test_arrivals.py
@@ -11,8 +11,8 @@
     RefusalBackoff,
     max_wait_s,
     no_host_is_final,
-    refusal_is_final,
     queueing_decision,
+    refusal_is_final,
 )
 
 LIMIT_S = 2
--- a/tests/admission/test_places.py
+++ b/tests/admission/test_flow_suspension.py
@@ -2,8 +2,8 @@
 
 import unittest
 
+from siskinbank.admission.flow_suspension import FlowSuspension
 from siskinbank.admission.limit import ClimbingLimit
-from siskinbank.admission.places import FlowSuspension
 from siskinbank.kernel.clock import FakeClock
 
 FLOWS = range(100)
@@ -17,7 +17,7 @@
         """Open a hundred flows on a warm upstream."""
         self.clock = FakeClock()
         self.limit = ClimbingLimit(COLD, 200, 10, self.clock)
-        self.places = FlowSuspension(self.limit, self.clock)
+        self.flow_suspension = FlowSuspension(self.limit, self.clock)
         self.clock.advance(10)
         for _ in FLOWS:
             self.limit.take()
@@ -25,11 +25,13 @@
     def turn_cold(self) -> None:
         """Turn cold with all flows open."""
         self.limit.restart()
-        self.places.suspend(FLOWS)
+        self.flow_suspension.suspend(FLOWS)
 
     def admitted(self) -> int:
         """Return how many flows get a packet through."""
-        return sum(self.places.admits(flow, closing=False) for flow in FLOWS)
+        return sum(
+            self.flow_suspension.admits(flow, closing=False) for flow in FLOWS
+        )
 
     def test_cold_twice(self) -> None:
         """Each time no more than the cold limit gets through at once."""
@@ -51,21 +53,23 @@
         """Flows that stay silent count as ended; they may still resume."""
         self.turn_cold()
         self.clock.advance(11)
-        self.places.sweep()
+        self.flow_suspension.sweep()
         self.assertEqual(self.limit.room, 200)
-        self.assertTrue(self.places.admits(FLOWS[0], closing=False))
+        self.assertTrue(self.flow_suspension.admits(FLOWS[0], closing=False))
 
     def test_closing_flow_frees_its_unit(self) -> None:
         """After the caller's last data a short silence frees the unit."""
-        self.assertTrue(self.places.admits(FLOWS[0], closing=True))
+        self.assertTrue(self.flow_suspension.admits(FLOWS[0], closing=True))
         self.clock.advance(3)
-        self.places.sweep()
+        self.flow_suspension.sweep()
         self.assertEqual(self.limit.in_use, len(FLOWS) - 1)
-        self.assertTrue(self.places.admits(FLOWS[0], closing=False))
+        self.assertTrue(self.flow_suspension.admits(FLOWS[0], closing=False))
         self.assertEqual(self.limit.in_use, len(FLOWS))
 
     def test_removes_flows_that_are_gone(self) -> None:
         """No state is left of flows that are no longer owned."""
         self.turn_cold()
-        self.places.keep_only(())
-        self.assertEqual((len(self.places), self.limit.suspended), (0, 0))
+        self.flow_suspension.keep_only(())
+        self.assertEqual(
+            (len(self.flow_suspension), self.limit.suspended), (0, 0)
+        )
--- a/tests/admission/test_judge.py
+++ b/tests/admission/test_health_monitor.py
@@ -2,10 +2,10 @@
 
 import unittest
 
-from siskinbank.admission.judge import (
+from siskinbank.admission.health_monitor import (
     Health,
-    LoadReport,
     HealthMonitor,
+    LoadReport,
     Verdict,
 )
 from siskinbank.kernel.clock import FakeClock
@@ -28,15 +28,17 @@
         """Create a monitor that has seen good answers for a while."""
         self.clock = FakeClock()
         self.verdicts: list[Verdict] = []
-        self.judge = HealthMonitor(self.clock, self.verdicts.append, 60)
+        self.health_monitor = HealthMonitor(
+            self.clock, self.verdicts.append, 60
+        )
         for _ in range(20):
             self.step(report(1))
 
     def step(self, reported: LoadReport, seconds: float = 0.005) -> None:
         """Advance the clock and note one answer and one report."""
         self.clock.advance(STEP_SECONDS)
-        self.judge.note_answer(seconds)
-        self.judge.note_report(reported)
+        self.health_monitor.note_answer(seconds)
+        self.health_monitor.note_report(reported)
 
     def test_signs(self) -> None:
         """Each sign is detected within a second of its first occurrence."""
@@ -56,9 +58,9 @@
     def test_failures(self) -> None:
         """Failed connections block; the first answer starts from cold."""
         for _ in range(3):
-            self.judge.note_failure()
-        self.judge.note_report(report(1))
-        self.judge.note_answer(0.005)
+            self.health_monitor.note_failure()
+        self.health_monitor.note_report(report(1))
+        self.health_monitor.note_answer(0.005)
         self.assertEqual(
             self.verdicts,
             [
@@ -72,7 +74,7 @@
     def test_bad_answers(self) -> None:
         """Server errors count, whatever the report says."""
         for _ in range(10):
-            self.judge.note_answer(0.005, good=False)
+            self.health_monitor.note_answer(0.005, good=False)
         self.assertIn(Verdict.cold, self.verdicts)
 
     def test_failed_requests(self) -> None:
@@ -81,15 +83,15 @@
             with self.subTest(bad):
                 self.setUp()
                 for number in range(bad + 4):
-                    self.judge.note_result(good=number >= bad)
+                    self.health_monitor.note_result(good=number >= bad)
                 self.assertIn(wanted, self.verdicts)
 
     def test_failed_requests_do_not_restore_reachability(self) -> None:
         """A failed request does not make a dead upstream reachable."""
         for _ in range(3):
-            self.judge.note_failure()
-        self.judge.note_result(good=False)
-        self.assertTrue(self.judge.unreachable)
+            self.health_monitor.note_failure()
+        self.health_monitor.note_result(good=False)
+        self.assertTrue(self.health_monitor.unreachable)
         self.assertNotIn(Verdict.back, self.verdicts)
 
     def test_contradicted_reports_are_ignored(self) -> None:
--- a/tests/admission/test_waiting_room.py
+++ b/tests/admission/test_pending_queue.py
@@ -3,9 +3,9 @@
 import random
 import unittest
 
-from siskinbank.admission.waiting_room import (
-    QueuedOpening,
+from siskinbank.admission.pending_queue import (
     PendingQueue,
+    QueuedOpening,
     sent_ago_s,
 )
 from siskinbank.relay.messages import Opening
--- a/tests/choice/test_placement.py
+++ b/tests/choice/test_placement.py
@@ -3,9 +3,9 @@
 import random
 import unittest
 
-from siskinbank.beliefs.hosts import TrackedHost, HostTable
 from siskinbank.choice.placement import MAX_CANDIDATES, candidates, rank_hosts
 from siskinbank.relay.messages import Status
+from siskinbank.tracking.hosts import HostTable, TrackedHost
 
 SERVICE = 7
 LOCAL_DATA_CENTRE = 1
--- a/tests/directory/test_roster.py
+++ b/tests/directory/test_roster.py
@@ -7,11 +7,15 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from siskinbank.kernel.clock import FakeClock
-from siskinbank.peers.ages import DataCentreAges
-from siskinbank.directory.beliefs import find_gone
+from siskinbank.directory.failure_detection import find_gone
 from siskinbank.directory.listing import ListReader
 from siskinbank.directory.live import Instance, InstanceState, Role
+from siskinbank.directory.member_status import (
+    MemberState,
+    MemberStatus,
+    MemberStatusTable,
+    parse_member_status,
+)
 from siskinbank.directory.roster import (
     Listing,
     Record,
@@ -19,12 +23,8 @@
     parse_record,
     record_of,
 )
-from siskinbank.directory.member_status import (
-    MemberState,
-    MemberStatus,
-    MemberStatusTable,
-    parse_member_status,
-)
+from siskinbank.kernel.clock import FakeClock
+from siskinbank.peers.ages import DataCentreAges
 
 INSTANCES = [
     Instance(f'host-{number}', Role.sidecar, 'a', (f'10.0.0.{number}', 7100))
--- a/tests/entry/test_searches.py
+++ b/tests/entry/test_owner_searches.py
@@ -3,7 +3,7 @@
 import unittest
 
 from siskinbank.config.site import Host
-from siskinbank.entry.searches import OwnerSearches
+from siskinbank.entry.owner_searches import OwnerSearches
 
 FLOW = bytes(13)
 OTHER = b'o' * 13
--- a/tests/entry/test_cache.py
+++ b/tests/entry/test_route_cache.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from siskinbank.entry.cache import Receiver, Route, RouteCache
+from siskinbank.entry.route_cache import Receiver, Route, RouteCache
 
 
 def _flow(number: int) -> bytes:
--- a/tests/lab/test_dissemination.py
+++ b/tests/lab/test_dissemination.py
@@ -2,13 +2,13 @@
 
 import unittest
 
+from siskinbank.directory.live import Role
 from siskinbank.kernel import events
 from siskinbank.kernel.reasons import Ignored
 from siskinbank.lab.configuration import measure_configuration
 from siskinbank.lab.membership import measure_membership
 from siskinbank.lab.virtual_fleet import CENTRES, VirtualFleet
 from siskinbank.peers.readers import FALLBACK_CALLS_PER_SECOND, READERS
-from siskinbank.directory.live import Role
 
 SIZE = 24
 SEED = 7
--- a/tests/peers/test_freshness.py
+++ b/tests/peers/test_freshness.py
@@ -3,10 +3,11 @@
 import random
 import unittest
 
+from siskinbank.directory.store import DocumentStore
 from siskinbank.kernel.clock import FakeClock
 from siskinbank.kernel.events import EventLog
 from siskinbank.kernel.metrics import Metrics
-from siskinbank.lab.virtual import CountingLog
+from siskinbank.lab.virtual_node import CountingLog
 from siskinbank.peers.freshness import LEASE_SECONDS, Freshness
 from siskinbank.peers.rate import TokenBucket
 from siskinbank.peers.readers import (
@@ -15,7 +16,6 @@
     read_interval,
 )
 from siskinbank.peers.transfer import PIECE_BYTES, PieceCollector, serve_ask
-from siskinbank.directory.store import DocumentStore
 from siskinbank.util import hex_digest
 from siskinbank.wire.gossip import Ask, Piece
 
--- a/tests/platform/test_packets.py
+++ b/tests/platform/test_packets.py
@@ -13,15 +13,15 @@
     FLOW_KEY,
     RST,
     SYN,
-    reverse_flow_key,
     begins_request,
+    build_reset,
+    clear_bounced,
     client_address,
     describe_flow,
-    clear_bounced,
     packet_problem,
     read_answer,
     request_id,
-    build_reset,
+    reverse_flow_key,
     route_key,
 )
 
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -8,12 +8,12 @@
 from siskinbank.platform.store import (
     HOSTS_PREFIX,
     OPERATOR_PREFIX,
-    watch_path,
     key_path,
     page_path,
     read_change,
     read_page,
     read_watch,
+    watch_path,
 )
 
 
--- a/tests/relay/test_seeker.py
+++ b/tests/relay/test_flow_searcher.py
@@ -5,11 +5,11 @@
 from types import SimpleNamespace
 from typing import Any
 
-from siskinbank.beliefs.hosts import HostTable
 from siskinbank.platform.records import Route
 from siskinbank.relay import messages
+from siskinbank.relay.flow_searcher import FlowSearcher
 from siskinbank.relay.loop import Loop
-from siskinbank.relay.seeker import FlowSearcher
+from siskinbank.tracking.hosts import HostTable
 
 SERVICE = 'matcher'
 ROUTE_KEY = bytes((198, 18, 0, 1, 1, 187))
--- a/tests/relay/test_gossip.py
+++ b/tests/relay/test_gossip.py
@@ -4,10 +4,10 @@
 from types import SimpleNamespace
 from typing import Any
 
-from siskinbank.beliefs.hosts import HostTable
 from siskinbank.relay import messages
 from siskinbank.relay.gossip import Gossip
 from siskinbank.relay.loop import NEVER, Loop
+from siskinbank.tracking.hosts import HostTable
 
 OWN = '10.0.0.1'
 OTHERS = ('10.0.0.2', '10.0.0.3')
--- a/tests/relay/test_greetings.py
+++ b/tests/relay/test_hello_schedule.py
@@ -2,7 +2,10 @@
 
 import unittest
 
-from siskinbank.relay.greetings import HELLO_CHECK_INTERVAL_S, HelloSchedule
+from siskinbank.relay.hello_schedule import (
+    HELLO_CHECK_INTERVAL_S,
+    HelloSchedule,
+)
 
 PERIOD_S = 1.0
 STARTED = 100
--- a/tests/relay/test_messages.py
+++ b/tests/relay/test_messages.py
@@ -1,8 +1,8 @@
 """Tests of the datagrams between entries and sidecars."""
 
 import unittest
-from contextlib import suppress
 from collections.abc import Callable
+from contextlib import suppress
 
 from hypothesis import given
 from hypothesis import strategies as st
--- a/tests/relay/test_request_watch.py
+++ b/tests/relay/test_request_tracker.py
@@ -5,12 +5,12 @@
 from types import SimpleNamespace
 from typing import Any
 
-from siskinbank.beliefs.own_host import OwnHost
 from siskinbank.platform.encoding import Packet, answer_bytes, request_bytes
 from siskinbank.platform.packets import ACK, FIN, FLOW_KEY, RST
 from siskinbank.relay.meters import Meters
-from siskinbank.relay.request_watch import RequestTracker
-from siskinbank.sidecar.held_flows import TrackedFlow
+from siskinbank.relay.request_tracker import RequestTracker
+from siskinbank.sidecar.tracked_flows import TrackedFlow
+from siskinbank.tracking.own_host import OwnHost
 
 CLIENT = ('100.64.0.7', 40001)
 SERVICE = ('198.18.0.1', 443)
--- a/tests/relay/test_reports.py
+++ b/tests/relay/test_status_reporter.py
@@ -4,9 +4,9 @@
 from types import SimpleNamespace
 from typing import Any
 
-from siskinbank.beliefs.own_host import OwnHost
 from siskinbank.relay.loop import Loop
-from siskinbank.relay.reports import StatusReporter
+from siskinbank.relay.status_reporter import StatusReporter
+from siskinbank.tracking.own_host import OwnHost
 
 ENTRIES = [f'10.0.0.{number}' for number in range(100)]
 # Turns within which each of a hundred entries gets a status update.
--- a/tests/request_case.py
+++ b/tests/request_case.py
@@ -8,7 +8,7 @@
 import aiohttp
 
 from siskinbank.lab.request_rig import RequestRig, RigHost
-from siskinbank.sidecar.homes import SETTLE_SECONDS
+from siskinbank.sidecar.primary_hosts import SETTLE_SECONDS
 from siskinbank.wire.headers import (
     DEADLINE_HEADER,
     KEY_HEADER,
--- a/tests/sidecar/test_once.py
+++ b/tests/sidecar/test_execution_claims.py
@@ -7,7 +7,7 @@
 
 from siskinbank.lab.faulty_link import Fault, LinkFaults
 from siskinbank.lab.request_rig import RequestRig, RigHost, wait_until
-from siskinbank.sidecar.homes import SETTLE_SECONDS
+from siskinbank.sidecar.primary_hosts import SETTLE_SECONDS
 from siskinbank.wire.messages import Message
 from siskinbank.wire.request_messages import AnswerHead, BodyPart, RequestHead
 from tests.request_case import RequestCase, running_rig
--- a/tests/sidecar/test_watch.py
+++ b/tests/sidecar/test_health_checks.py
@@ -5,10 +5,10 @@
 
 from aiohttp import web
 
-from siskinbank.admission.judge import Health, HealthMonitor, Verdict
+from siskinbank.admission.health_monitor import Health, HealthMonitor, Verdict
 from siskinbank.kernel.clock import FakeClock
 from siskinbank.lab.standins.health import HealthEndpoint, HealthMode
-from siskinbank.sidecar.watch import probe, read_report
+from siskinbank.sidecar.health_checks import probe, read_report
 
 
 class TestHealthChecks(unittest.IsolatedAsyncioTestCase):
@@ -46,18 +46,18 @@
     async def test_restart_is_detected(self) -> None:
         """A new incarnation of the upstream is detected at once."""
         verdicts: list[Verdict] = []
-        judge = HealthMonitor(FakeClock(), verdicts.append, 60)
-        judge.note_report(await read_report(self.url))
+        health_monitor = HealthMonitor(FakeClock(), verdicts.append, 60)
+        health_monitor.note_report(await read_report(self.url))
         self.endpoint.restart()
-        judge.note_report(await read_report(self.url))
+        health_monitor.note_report(await read_report(self.url))
         self.assertEqual(verdicts, [Verdict.cold])
 
     async def test_probe(self) -> None:
         """Refused connections mark the upstream as unreachable."""
         verdicts: list[Verdict] = []
-        judge = HealthMonitor(FakeClock(), verdicts.append, 60)
-        await probe(self.address, judge)
+        health_monitor = HealthMonitor(FakeClock(), verdicts.append, 60)
+        await probe(self.address, health_monitor)
         await self.runner.cleanup()
         for _ in range(3):
-            await probe(self.address, judge)
-        self.assertTrue(judge.unreachable)
+            await probe(self.address, health_monitor)
+        self.assertTrue(health_monitor.unreachable)
--- a/tests/sidecar/test_packets.py
+++ b/tests/sidecar/test_packets.py
@@ -9,8 +9,12 @@
 from siskinbank.config.site import Address
 from siskinbank.kernel.reasons import Drop, GivenUp
 from siskinbank.lab.pool import Pool, PoolSidecar
-from siskinbank.lab.sites import SERVICE, SERVICE_ADDRESS, PoolPlan
-from siskinbank.lab.sites import host_address
+from siskinbank.lab.sites import (
+    SERVICE,
+    SERVICE_ADDRESS,
+    PoolPlan,
+    host_address,
+)
 from siskinbank.lab.standins.packets import (
     ACK,
     FIN,
--- a/tests/tools/test_start_cost.py
+++ b/tests/tools/test_start_cost.py
@@ -4,9 +4,9 @@
 
 from tools.start_cost import (
     ImportTime,
+    parse_import_times,
     processor_time_s,
     time_to_first_request_s,
-    parse_import_times,
 )
 
 REPORT = """import time: self [us] | cumulative | imported package
--- a/tests/beliefs/test_configuration.py
+++ b/tests/tracking/test_configuration.py
@@ -2,9 +2,9 @@
 
 import unittest
 
-from siskinbank.beliefs.configuration import Configuration
 from siskinbank.platform.documents import DocumentError
 from siskinbank.platform.encoding import RouteEntry, encode_configuration
+from siskinbank.tracking.configuration import Configuration
 
 
 def raw(version: int) -> bytes:
--- a/tests/beliefs/test_own_host.py
+++ b/tests/tracking/test_own_host.py
@@ -3,8 +3,8 @@
 import unittest
 
 from siskinbank.admission import reasons
-from siskinbank.beliefs.own_host import OwnHost
 from siskinbank.relay import messages
+from siskinbank.tracking.own_host import OwnHost
 
 SERVICE = messages.digest('matcher')
 OTHER = messages.digest('catalogue')
--- a/tests/beliefs/test_freshness.py
+++ b/tests/tracking/test_store_reads.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from siskinbank.beliefs.freshness import (
+from siskinbank.tracking.store_reads import (
     StoreAvailability,
     hosts_read_age_s,
     operator_read_age_s,
--- a/tests/wire/test_bodies.py
+++ b/tests/wire/test_bodies.py
@@ -7,8 +7,8 @@
 from siskinbank.wire.bodies import (
     CHUNK_BYTES,
     WINDOW_BYTES,
-    BodyTruncatedError,
     BodyReader,
+    BodyTruncatedError,
     SendWindow,
     send_body,
 )
--- a/tools/build_platform.py
+++ b/tools/build_platform.py
@@ -14,7 +14,7 @@
 _PACKAGES = (
     'platform',
     'relay',
-    'beliefs',
+    'tracking',
     'choice',
     'admission',
     'entry',
--- a/tools/start_cost.py
+++ b/tools/start_cost.py
@@ -21,9 +21,9 @@
 __all__ = (
     'ImportTime',
     'command',
+    'parse_import_times',
     'processor_time_s',
     'time_to_first_request_s',
-    'parse_import_times',
 )
 
 _ROOT = Path(__file__).resolve().parent.parent
