--- a/siskinbank/lab/bearing.py
+++ b/siskinbank/lab/bearing.py
@@ -1,4 +1,4 @@
-"""An upstream that bears only so much, and what it got above that."""
+"""A fake upstream with a connection limit, and a sidecar that checks it."""
 
 from collections import deque
 from dataclasses import dataclass, field
@@ -9,185 +9,221 @@
 from siskinbank.wire.packets import InnerPacket
 
 __all__ = (
-    'BearingUpstream',
-    'OpenFlow',
-    'add_bearing',
+    'CallerEndpoint',
+    'LimitedUpstream',
+    'add_monitored_sidecar',
     'has_flow',
     'host_address',
     'host_name',
 )
 
-#: A flow as its upstream knows it: the caller's address and port.
-OpenFlow = tuple[bytes, int]
-
-_SECOND = 1.0
-_WATCH_SECONDS = 0.3
-_HOSTS_A_BLOCK = 250
-_ANSWER_SECONDS = 0.004
-_COLD_ANSWER_SECONDS = 0.2
-#: Above this share of what it bears the upstream collapses.
-_COLLAPSE_SHARE = 1.5
+#: The caller's packed IPv4 address and port, by which an upstream tells its
+#: flows apart.
+CallerEndpoint = tuple[bytes, int]
+
+_RATE_WINDOW_SECONDS = 1.0
+_HEALTH_CHECK_SECONDS = 0.3
+_HOSTS_PER_SUBNET = 250
+_RESPONSE_SECONDS = 0.004
+_COLD_RESPONSE_SECONDS = 0.2
+#: The upstream collapses above this multiple of its connection limit.
+_COLLAPSE_FACTOR = 1.5
 _COLLAPSE_SECONDS = 5.0
 
 
 @dataclass(slots=True)
-class BearingUpstream(FakeUpstream):
-    """Counts the moments in which it gets more than it bears.
-
-    It bears ``cold`` connections after a start and ``full`` ones after the
-    warm-up; while it is cold, also no more new ones a second. ``cold_since``
-    is the last time it turned cold, ``judged_from`` the time from which an
-    excess counts. What came before that is not held against the sidecar.
+class LimitedUpstream(FakeUpstream):
+    """Counts the packets by which it exceeds its connection limit.
+
+    The limit rises from ``cold_connections`` after a start to
+    ``full_connections`` after the warm-up. During the warm-up it also limits
+    the new connections per second.
+
+    Attributes:
+        full_connections: Connection limit after the warm-up.
+        cold_connections: Connection limit right after a start.
+        warm_up_seconds: Duration of the warm-up.
+        can_collapse: Whether it collapses under overload.
+        open_flows: Time of the last packet of each open flow.
+        cold_since: Time when it last turned cold.
+        counted_from: Time from which an excess counts. An earlier one is not
+            the sidecar's fault.
+        incarnation: Number of the current run.
+        report_unavailable: Whether its load endpoint never answers.
+        report_lag_seconds: Time after a restart during which the load
+            endpoint still reports the previous incarnation.
+        reports_zero: Whether the load endpoint always reports no load.
+        excess: Number of packets that found it above its limit.
+        burst_excess: Number of new connections above the limit for one
+            second.
+        collapse_count: Number of collapses.
+        down_until: Time until which it does not answer.
+        abandoned_flows: Flows that it dropped.
+        open_times: Times of new connections.
     """
 
-    full: int = 2000
-    cold: int = 100
-    warm_up: float = 30
-    collapses: bool = False
-    open: dict[OpenFlow, float] = field(default_factory=dict)
+    full_connections: int = 2000
+    cold_connections: int = 100
+    warm_up_seconds: float = 30
+    can_collapse: bool = False
+    open_flows: dict[CallerEndpoint, float] = field(default_factory=dict)
     cold_since: float = 0
-    judged_from: float = 0
+    counted_from: float = 0
     incarnation: int = 1
-    report_is_silent: bool = False
-    report_lag: float = 10
-    says_zero: bool = False
+    report_unavailable: bool = False
+    report_lag_seconds: float = 10
+    reports_zero: bool = False
     excess: int = 0
     burst_excess: int = 0
-    collapsed: int = 0
+    collapse_count: int = 0
     down_until: float = 0
-    given_up: set[OpenFlow] = field(default_factory=set)
-    opened: list[float] = field(default_factory=list)
-    _recent: deque[float] = field(default_factory=deque)
+    abandoned_flows: set[CallerEndpoint] = field(default_factory=set)
+    open_times: list[float] = field(default_factory=list)
+    _recent_opens: deque[float] = field(default_factory=deque)
 
-    def bears(self, now: float) -> int:
-        """Return the connections that it bears now."""
+    def connection_limit(self, now: float) -> int:
+        """Return the current connection limit."""
         elapsed = now - self.cold_since
-        if elapsed >= self.warm_up:
-            return self.full
-        return self.cold + int((self.full - self.cold) * elapsed / self.warm_up)
+        if elapsed >= self.warm_up_seconds:
+            return self.full_connections
+        return self.cold_connections + int(
+            (self.full_connections - self.cold_connections)
+            * elapsed
+            / self.warm_up_seconds
+        )
 
-    def turn_cold(self, now: float, judged_from: float) -> None:
-        """Turn cold without warning, with all flows open."""
+    def turn_cold(self, now: float, counted_from: float) -> None:
+        """Turn cold without notice; all flows stay open."""
         self.cold_since = now
-        self.judged_from = judged_from
+        self.counted_from = counted_from
         self.incarnation += 1
 
     def is_up(self, now: float) -> bool:
-        """Whether it answers."""
+        """Return whether it answers."""
         return now >= self.down_until
 
-    def answer_seconds(self, now: float) -> float:
-        """Return the time of an answer; it is slower while cold."""
-        is_cold = now - self.cold_since < self.warm_up / 2 and (
+    def response_seconds(self, now: float) -> float:
+        """Return the response time in seconds, which is longer while cold."""
+        is_cold = now - self.cold_since < self.warm_up_seconds / 2 and (
             self.incarnation > 1
         )
-        return _COLD_ANSWER_SECONDS if is_cold else _ANSWER_SECONDS
+        return _COLD_RESPONSE_SECONDS if is_cold else _RESPONSE_SECONDS
 
     def report(self, now: float) -> LoadReport:
-        """Return what its endpoint says, silent or late where it is told so."""
-        if self.report_is_silent or not self.is_up(now):
+        """Return the answer of its load endpoint, which may be absent or late."""
+        if self.report_unavailable or not self.is_up(now):
             return LoadReport(Health.silent)
-        if self.says_zero:
+        if self.reports_zero:
             return LoadReport(Health.good, '0', 0)
-        lags = now - self.cold_since < self.report_lag
-        if lags and self.incarnation > 1:
+        is_late = now - self.cold_since < self.report_lag_seconds
+        if is_late and self.incarnation > 1:
             return LoadReport(Health.good, str(self.incarnation - 1))
         return LoadReport(Health.good, str(self.incarnation))
 
     def receive(self, packet: InnerPacket, now: float) -> None:
-        """Take one packet; count it where it is too much."""
+        """Receive one packet and count it if it exceeds a limit."""
         if not self.is_up(now):
             return
         FakeUpstream.receive(self, packet, now)
         flow = (packet.source, packet.source_port)
         if packet.closing or packet.last:
-            self.open.pop(flow, None)
+            self.open_flows.pop(flow, None)
             return
-        is_new = flow not in self.open
+        is_new = flow not in self.open_flows
         if is_new and not packet.may_open:
-            # It answers with a reset: nothing is open for this packet.
+            # A real upstream resets a packet of an unknown flow.
             return
-        self.open[flow] = now
+        self.open_flows[flow] = now
         if packet.may_open and is_new:
-            self.opened.append(now)
-            self._judge_burst(now)
-        self._judge(now)
-
-    def served(self, now: float) -> int:
-        """Return the flows that sent something since they are judged."""
-        if not self.judged_from:
-            return len(self.open)
-        return sum(seen >= self.judged_from for seen in self.open.values())
+            self.open_times.append(now)
+            self._check_open_rate(now)
+        self._check_limit(now)
+
+    def active_flows(self, now: float) -> int:
+        """Return the number of flows with a packet since ``counted_from``."""
+        if not self.counted_from:
+            return len(self.open_flows)
+        return sum(
+            last_seen >= self.counted_from
+            for last_seen in self.open_flows.values()
+        )
 
     def collapse(self, now: float) -> None:
-        """Answer nothing for a while, then start again from cold."""
-        self.collapsed += 1
-        self.give_up()
+        """Drop all flows, stop answering for 5 seconds and restart cold."""
+        self.collapse_count += 1
+        self.abandon_flows()
         self.down_until = now + _COLLAPSE_SECONDS
         self.turn_cold(self.down_until, self.down_until)
 
-    def give_up(self) -> None:
-        """Forget all flows; their callers notice."""
-        self.given_up.update(self.open)
-        self.open.clear()
+    def abandon_flows(self) -> None:
+        """Drop all flows and record them as abandoned."""
+        self.abandoned_flows.update(self.open_flows)
+        self.open_flows.clear()
         self.flows.clear()
 
-    def _judge(self, now: float) -> None:
-        if now < self.judged_from:
+    def _check_limit(self, now: float) -> None:
+        if now < self.counted_from:
             return
-        served = self.served(now)
-        if served > self.bears(now):
+        active_flows = self.active_flows(now)
+        if active_flows > self.connection_limit(now):
             self.excess += 1
-        if self.collapses and served > self.bears(now) * _COLLAPSE_SHARE:
+        if (
+            self.can_collapse
+            and active_flows > self.connection_limit(now) * _COLLAPSE_FACTOR
+        ):
             self.collapse(now)
 
-    def _judge_burst(self, now: float) -> None:
-        recent = self._recent
-        recent.append(now)
-        while recent and recent[0] <= now - _SECOND:
-            recent.popleft()
-        if self.bears(now) < self.full and len(recent) > self.bears(now):
+    def _check_open_rate(self, now: float) -> None:
+        recent_opens = self._recent_opens
+        recent_opens.append(now)
+        while recent_opens and recent_opens[0] <= now - _RATE_WINDOW_SECONDS:
+            recent_opens.popleft()
+        if self.connection_limit(now) < self.full_connections and len(
+            recent_opens
+        ) > self.connection_limit(now):
             self.burst_excess += 1
 
 
-def add_bearing(
+def add_monitored_sidecar(
     pool: Pool,
     number: int,
-    upstream: BearingUpstream,
+    upstream: LimitedUpstream,
 ) -> PoolSidecar:
-    """Start a sidecar that watches an upstream, and return it."""
+    """Start a sidecar that checks the health of ``upstream``."""
     sidecar = pool.add_sidecar(
         host_name(number),
         host_address(number),
         upstream,
     )
 
-    def watch() -> None:
+    def check_health() -> None:
         admission = sidecar.context.admission
         if admission is None:
             return
         now = pool.clock.now
         if upstream.is_up(now):
-            admission.judge.note_answer(upstream.answer_seconds(now))
+            admission.judge.note_answer(upstream.response_seconds(now))
         else:
             admission.judge.note_failure()
         admission.judge.note_report(upstream.report(now))
 
-    sidecar.process.timers.every(_WATCH_SECONDS, watch, jitter=0.1)
+    sidecar.process.timers.every(
+        _HEALTH_CHECK_SECONDS, check_health, jitter=0.1
+    )
     return sidecar
 
 
-def has_flow(upstream: FakeUpstream, flow: OpenFlow) -> bool:
-    """Whether an upstream has a flow open."""
-    return isinstance(upstream, BearingUpstream) and flow in upstream.open
+def has_flow(upstream: FakeUpstream, flow: CallerEndpoint) -> bool:
+    """Return whether ``upstream`` has ``flow`` open."""
+    return isinstance(upstream, LimitedUpstream) and flow in upstream.open_flows
 
 
 def host_name(number: int) -> str:
-    """Return a host's name."""
+    """Return the name of a host."""
     return f'matcher-{number}'
 
 
 def host_address(number: int) -> Address:
-    """Return the address of a host's sidecar."""
-    block, low = divmod(number, _HOSTS_A_BLOCK)
-    return f'10.0.{block}.{low + 1}', 7100
+    """Return the address of the sidecar of a host."""
+    subnet, low = divmod(number, _HOSTS_PER_SUBNET)
+    return f'10.0.{subnet}.{low + 1}', 7100
--- a/siskinbank/lab/cold.py
+++ b/siskinbank/lab/cold.py
@@ -1,11 +1,14 @@
-"""What cold upstreams get, when all start at once and when one turns cold."""
+"""Measures the load on cold upstreams.
+
+All upstreams start at once; later one turns cold and another collapses.
+"""
 
 import random
 from collections.abc import Sequence
 from dataclasses import dataclass
 from typing import Any
 
-from siskinbank.lab.bearing import BearingUpstream, add_bearing
+from siskinbank.lab.bearing import LimitedUpstream, add_monitored_sidecar
 from siskinbank.lab.experiment import (
     Bound,
     ExperimentReport,
@@ -19,27 +22,37 @@
 __all__ = ('ColdRun', 'measure_cold', 'run_cold')
 
 _CONNECTIONS = 200
-_COLD = 20
+_COLD_CONNECTIONS = 20
 _WARM_UP_SECONDS = 8.0
 _RUN_SECONDS = 50
-_TURNS_COLD_AT = 24.0
-_SIGN_SECONDS = 1.0
-_BEAT_SECONDS = 1.0
-#: The share of its part from which a host counts as back.
-_FULL_SHARE = 0.9
+_COLD_AT_SECONDS = 24.0
+_DETECTION_SECONDS = 1.0
+_SEND_INTERVAL_SECONDS = 1.0
+#: Share of the mean load from which a host counts as recovered.
+_RECOVERED_SHARE = 0.9
 _STEP_SECONDS = 1.0
-_ENTRIES = (3, 400)
+_ENTRY_COUNTS = (3, 400)
 
 
 @dataclass(frozen=True, slots=True)
 class ColdRun:
-    """What the upstreams of one run got."""
+    """Results of one run.
+
+    Attributes:
+        excess: Number of packets at upstreams above their limit.
+        burst_excess: Number of new connections above the limit for one
+            second.
+        collapse_count: Number of collapses besides the injected one.
+        recovery_seconds: Time until the cold host has its share again.
+        lost_flows: Number of flows lost besides the injected collapse.
+        opened: Number of opened flows.
+    """
 
     excess: int
     burst_excess: int
-    collapsed: int
-    share_seconds: float
-    lost: int
+    collapse_count: int
+    recovery_seconds: float
+    lost_flows: int
     opened: int
 
 
@@ -49,26 +62,30 @@
     hosts: int,
     flows: int,
 ) -> ExperimentReport:
-    """Measure with 3 and with 400 entries, or with ``entries`` if not 0."""
-    ours: dict[str, Any] = {}
+    """Measure with 3 and 400 entries, or with ``entries`` if it is not 0."""
+    results: dict[str, Any] = {}
     naive: dict[str, Any] = {}
     bounds: list[Bound] = []
     arrivals = draw_arrivals(random.Random(seed), flows * hosts, _RUN_SECONDS)
-    for count in (entries,) if entries else _ENTRIES:
+    for count in (entries,) if entries else _ENTRY_COUNTS:
         name = f'{count} entries'
         run = run_cold(seed, count, hosts, arrivals)
-        ours[f'{name}: moments above the cold limit'] = run.excess
-        ours[f'{name}: moments above its worth a second'] = run.burst_excess
-        ours[f'{name}: collapses after the injected one'] = run.collapsed
-        ours[f'{name}: seconds to full share'] = run.share_seconds
-        ours[f'{name}: flows lost besides the injected collapse'] = run.lost
-        ours[f'{name}: flows opened'] = run.opened
+        results[f'{name}: moments above the cold limit'] = run.excess
+        results[f'{name}: moments above its worth a second'] = run.burst_excess
+        results[f'{name}: collapses after the injected one'] = (
+            run.collapse_count
+        )
+        results[f'{name}: seconds to full share'] = run.recovery_seconds
+        results[f'{name}: flows lost besides the injected collapse'] = (
+            run.lost_flows
+        )
+        results[f'{name}: flows opened'] = run.opened
         bounds.extend(_bounds(name, run))
-    plain = run_naive(arrivals, hosts)
-    naive['moments above the cold limit'] = plain.excess
-    naive['moments above its worth a second'] = plain.burst_excess
-    naive['collapses after the injected one'] = plain.collapsed
-    return ExperimentReport('cold', seed, ours, naive, bounds)
+    naive_run = run_naive(arrivals, hosts)
+    naive['moments above the cold limit'] = naive_run.excess
+    naive['moments above its worth a second'] = naive_run.burst_excess
+    naive['collapses after the injected one'] = naive_run.collapse_count
+    return ExperimentReport('cold', seed, results, naive, bounds)
 
 
 def _bounds(name: str, run: ColdRun) -> list[Bound]:
@@ -79,13 +96,13 @@
             0,
             run.burst_excess,
         ),
-        at_most(f'{name}: further collapses', 0, run.collapsed),
+        at_most(f'{name}: further collapses', 0, run.collapse_count),
         at_most(
             f'{name}: seconds to full share',
             2 * _WARM_UP_SECONDS,
-            run.share_seconds,
+            run.recovery_seconds,
         ),
-        at_most(f'{name}: flows lost besides', 0, run.lost),
+        at_most(f'{name}: flows lost besides', 0, run.lost_flows),
         at_least(f'{name}: flows opened', 1, run.opened),
     ]
 
@@ -96,87 +113,84 @@
     hosts: int,
     arrivals: list[Arrival],
 ) -> ColdRun:
-    """Start all at once; then one host turns cold, and another collapses."""
+    """Start all hosts at once; later one turns cold and one collapses."""
     pool = Pool(seed)
     for number in range(entries):
         pool.add_entry(f'entry-{number}', number)
-    upstreams = _upstreams(hosts)
-    for position, beside in enumerate(upstreams):
-        add_bearing(pool, position, beside)
-    shape = SiteShape(hosts, _CONNECTIONS, _COLD, _WARM_UP_SECONDS)
+    upstreams = _make_upstreams(hosts)
+    for position, fake_upstream in enumerate(upstreams):
+        add_monitored_sidecar(pool, position, fake_upstream)
+    shape = SiteShape(hosts, _CONNECTIONS, _COLD_CONNECTIONS, _WARM_UP_SECONDS)
     pool.publish(shape.site(1), spread=2)
-    traffic = Traffic(pool, arrivals, _BEAT_SECONDS)
-    traffic.run(_TURNS_COLD_AT)
+    traffic = Traffic(pool, arrivals, _SEND_INTERVAL_SECONDS)
+    traffic.run(_COLD_AT_SECONDS)
     rng = random.Random(seed)
-    cold, fallen = rng.sample(range(hosts), 2)
+    cold_host, collapsing_host = rng.sample(range(hosts), 2)
     now = pool.clock.now
-    upstreams[cold].turn_cold(now, now + _SIGN_SECONDS)
+    upstreams[cold_host].turn_cold(now, now + _DETECTION_SECONDS)
     traffic.run(now + rng.uniform(0, 1))
-    upstreams[fallen].collapse(pool.clock.now)
-    back = _wait_for_share(traffic, pool, upstreams, cold)
+    upstreams[collapsing_host].collapse(pool.clock.now)
+    recovered_at = _wait_for_recovery(traffic, pool, upstreams, cold_host)
     return ColdRun(
         sum(upstream.excess for upstream in upstreams),
         sum(upstream.burst_excess for upstream in upstreams),
-        sum(upstream.collapsed for upstream in upstreams) - 1,
-        back - now,
-        len(traffic.lost_flows - upstreams[fallen].given_up),
+        sum(upstream.collapse_count for upstream in upstreams) - 1,
+        recovered_at - now,
+        len(traffic.lost_flows - upstreams[collapsing_host].abandoned_flows),
         traffic.opened,
     )
 
 
-def _upstreams(hosts: int) -> list[BearingUpstream]:
-    return [_upstream(number) for number in range(hosts)]
+def _make_upstreams(hosts: int) -> list[LimitedUpstream]:
+    return [_make_upstream(number) for number in range(hosts)]
 
 
-def _upstream(number: int) -> BearingUpstream:
-    return BearingUpstream(
-        full=_CONNECTIONS,
-        cold=_COLD,
-        warm_up=_WARM_UP_SECONDS,
-        collapses=True,
-        report_lag=10 if number % 3 == 0 else 0,
-        says_zero=number % 3 == 1,
-        report_is_silent=number % 3 == 2,
+def _make_upstream(number: int) -> LimitedUpstream:
+    return LimitedUpstream(
+        full_connections=_CONNECTIONS,
+        cold_connections=_COLD_CONNECTIONS,
+        warm_up_seconds=_WARM_UP_SECONDS,
+        can_collapse=True,
+        report_lag_seconds=10 if number % 3 == 0 else 0,
+        reports_zero=number % 3 == 1,
+        report_unavailable=number % 3 == 2,
     )
 
 
-def _wait_for_share(
+def _wait_for_recovery(
     traffic: Traffic,
     pool: Pool,
-    upstreams: Sequence[BearingUpstream],
-    cold: int,
+    upstreams: Sequence[LimitedUpstream],
+    cold_host: int,
 ) -> float:
-    """Return when the host that turned cold has its share again."""
-    back = float('inf')
+    """Return the time when the cold host has its share of load again."""
+    recovered_at = float('inf')
     while pool.clock.now < _RUN_SECONDS:
         traffic.run(pool.clock.now + _STEP_SECONDS)
         now = pool.clock.now
-        served = [upstream.served(now) for upstream in upstreams]
-        mean = sum(served) / len(served)
-        if served[cold] < mean * _FULL_SHARE:
-            back = float('inf')
-        elif back > now:
-            back = now
-    return back
+        active_flows = [upstream.active_flows(now) for upstream in upstreams]
+        mean = sum(active_flows) / len(active_flows)
+        if active_flows[cold_host] < mean * _RECOVERED_SHARE:
+            recovered_at = float('inf')
+        elif recovered_at > now:
+            recovered_at = now
+    return recovered_at
 
 
 def run_naive(arrivals: Sequence[Arrival], hosts: int) -> ColdRun:
-    """Send the flows by hash modulo live hosts, with no sidecar in between.
-
-    A host that collapsed counts as live until it is missed.
-    """
+    """Send the flows by hash modulo the live hosts, without sidecars."""
     pool = Pool(0)
-    upstreams = _upstreams(hosts)
-    traffic = NaiveTraffic(pool, upstreams, arrivals, _BEAT_SECONDS)
-    traffic.run(_TURNS_COLD_AT)
+    upstreams = _make_upstreams(hosts)
+    traffic = NaiveTraffic(pool, upstreams, arrivals, _SEND_INTERVAL_SECONDS)
+    traffic.run(_COLD_AT_SECONDS)
     now = pool.clock.now
-    upstreams[0].turn_cold(now, now + _SIGN_SECONDS)
+    upstreams[0].turn_cold(now, now + _DETECTION_SECONDS)
     upstreams[1].collapse(now)
     traffic.run(_RUN_SECONDS)
     return ColdRun(
         sum(upstream.excess for upstream in upstreams),
         sum(upstream.burst_excess for upstream in upstreams),
-        sum(upstream.collapsed for upstream in upstreams) - 1,
+        sum(upstream.collapse_count for upstream in upstreams) - 1,
         0,
         0,
         0,
--- a/siskinbank/lab/cost.py
+++ b/siskinbank/lab/cost.py
@@ -1,4 +1,4 @@
-"""What one packet and one flow cost in an entry and in a sidecar."""
+"""Measures the cost of a packet and a flow in an entry and a sidecar."""
 
 import asyncio
 import gc
@@ -30,31 +30,31 @@
 
 _SIZES = (1_000, 30_000, 300_000)
 _TIMED_PACKETS = 1_000
-_REPEATS = 7
+_ROUNDS = 7
 _MICROSECONDS = 1_000_000
 _PAYLOAD = bytes(200)
-_PORTS = 50_000
+_PORTS_PER_ADDRESS = 50_000
 _FIRST_PORT = 2000
 _SENDER: Address = ('10.250.0.1', 1)
-#: The stated size: 3.6 million flows on 3,200 hosts behind 410 entries.
-_HOST_FLOWS = 1_125
-_ENTRY_FLOWS = 8_781
-_CONTROL_BYTES_A_SECOND = 28 * 1024
-_CONTROL_SHARE = 0.01
-_MEMORY_BYTES = 32 * 1024 * 1024
+#: Design size: 3.6 million flows on 3,200 hosts behind 410 entries.
+_FLOWS_PER_HOST = 1_125
+_FLOWS_PER_ENTRY = 8_781
+_MAX_CONTROL_BYTES_PER_SECOND = 28 * 1024
+_MAX_CORE_SHARE = 0.01
+_MAX_STATE_BYTES = 32 * 1024 * 1024
 _CONTROL_SECONDS = 120
-_POOLS = (9, 100)
+_POOL_HOSTS = (9, 100)
 _SETTLE_SECONDS = 70
 
 
 def measure_cost(seed: int) -> ExperimentReport:
-    """Time decisions, weigh state, and count control traffic."""
+    """Measure time per packet, memory per flow and control traffic."""
     sizes = {size: _measure_size(seed, size) for size in _SIZES}
-    control = {hosts: _measure_control(seed, hosts) for hosts in _POOLS}
+    control = {hosts: _measure_control(seed, hosts) for hosts in _POOL_HOSTS}
     largest = sizes[_SIZES[-1]]
-    usual = control[_POOLS[0]]
-    entry_bytes = largest['entry_bytes_a_flow'] * _ENTRY_FLOWS
-    host_bytes = largest['sidecar_bytes_a_flow'] * _HOST_FLOWS
+    small_pool = control[_POOL_HOSTS[0]]
+    entry_bytes = largest['entry_bytes_a_flow'] * _FLOWS_PER_ENTRY
+    host_bytes = largest['sidecar_bytes_a_flow'] * _FLOWS_PER_HOST
     naive = {
         size: measured.pop('naive_microseconds')
         for size, measured in sizes.items()
@@ -67,62 +67,69 @@
         [
             at_most(
                 'control bytes a second of a sidecar after a change',
-                _CONTROL_BYTES_A_SECOND,
-                usual['bytes_a_second'],
+                _MAX_CONTROL_BYTES_PER_SECOND,
+                small_pool['bytes_a_second'],
             ),
             at_most(
                 'share of a core for announcing',
-                _CONTROL_SHARE,
-                usual['share_of_a_core'],
+                _MAX_CORE_SHARE,
+                small_pool['share_of_a_core'],
             ),
             at_most(
-                'bytes of the routes of an entry', _MEMORY_BYTES, entry_bytes
+                'bytes of the routes of an entry', _MAX_STATE_BYTES, entry_bytes
             ),
             at_most(
-                'bytes of the flows of a sidecar', _MEMORY_BYTES, host_bytes
+                'bytes of the flows of a sidecar', _MAX_STATE_BYTES, host_bytes
             ),
         ],
     )
 
 
-class _Sink(asyncio.DatagramTransport):
-    """Takes datagrams and forgets them."""
+class _DiscardingTransport(asyncio.DatagramTransport):
+    """Discards all datagrams."""
 
     def sendto(self, data: Any, addr: Any = None) -> None:
-        """Forget one datagram."""
+        """Discard one datagram."""
 
 
 def _measure_size(seed: int, size: int) -> dict[str, float]:
     pool, entry, sidecar = _start(seed)
     flows = [_flow(number) for number in range(size)]
-    picked = random.Random(seed).sample(flows, _TIMED_PACKETS)
-    later = [make_packet(flow, ACK, _PAYLOAD) for flow in picked]
-    entry_bytes = _weigh(lambda: _teach(entry, sidecar, flows)) / size
-    sidecar_bytes = _weigh(lambda: _own(sidecar, flows, pool.clock.now)) / size
-    pointer_bytes = _weigh(lambda: _point(sidecar, size)) / size
-    unknown = [
+    sampled = random.Random(seed).sample(flows, _TIMED_PACKETS)
+    known_packets = [make_packet(flow, ACK, _PAYLOAD) for flow in sampled]
+    entry_bytes = (
+        _measure_memory(lambda: _add_routes(entry, sidecar, flows)) / size
+    )
+    sidecar_bytes = (
+        _measure_memory(lambda: _add_flows(sidecar, flows, pool.clock.now))
+        / size
+    )
+    pointer_bytes = _measure_memory(lambda: _add_pointers(sidecar, size)) / size
+    new_packets = [
         make_packet(_flow(size + number), SYN, _PAYLOAD)
         for number in range(_TIMED_PACKETS)
     ]
-    known = _bodies(sidecar, later)
+    known = _seal_known(sidecar, known_packets)
     return {
-        'entry_known_microseconds': _time(
-            later,
+        'entry_known_microseconds': _best_microseconds(
+            known_packets,
             lambda raw: entry.ingress.receive(raw, _SENDER),
         ),
-        'entry_new_microseconds': _time(
-            unknown,
+        'entry_new_microseconds': _best_microseconds(
+            new_packets,
             lambda raw: entry.ingress.receive(raw, _SENDER),
         ),
-        'sidecar_known_microseconds': _time(
+        'sidecar_known_microseconds': _best_microseconds(
             known,
             lambda raw: sidecar.context.peers.receive(raw, _SENDER),
         ),
-        'sidecar_new_microseconds': _time_once(
-            _offers(sidecar, unknown),
+        'sidecar_new_microseconds': _mean_microseconds(
+            _seal_new(sidecar, new_packets),
             lambda raw: sidecar.context.peers.receive(raw, _SENDER),
         ),
-        'naive_microseconds': _time(later, _naive()),
+        'naive_microseconds': _best_microseconds(
+            known_packets, _make_naive_forwarder()
+        ),
         'entry_bytes_a_flow': entry_bytes,
         'sidecar_bytes_a_flow': sidecar_bytes,
         'pointer_bytes_a_flow': pointer_bytes,
@@ -131,50 +138,54 @@
 
 def _start(seed: int) -> tuple[Pool, PoolEntry, PoolSidecar]:
     pool = Pool(seed)
-    plan = PoolPlan(dict.fromkeys(range(_POOLS[0]), 'active'))
+    plan = PoolPlan(dict.fromkeys(range(_POOL_HOSTS[0]), 'active'))
     entry = pool.add_entry('entry-0', 0)
     sidecar = pool.add_sidecar(f'{SERVICE}-0', host_address(0))
     pool.publish(plan.next_site())
     pool.run(_SETTLE_SECONDS)
     for peers in (entry.ingress.peers, sidecar.context.peers):
-        peers.use(_Sink())
+        peers.use(_DiscardingTransport())
     pool.network.unbind((sidecar.address[0], UPSTREAM_PORT))
     return pool, entry, sidecar
 
 
 def _flow(number: int) -> Flow:
-    address = f'10.{number // _PORTS}.7.7'
-    return Flow(address, _FIRST_PORT + number % _PORTS, *SERVICE_ADDRESS)
+    address = f'10.{number // _PORTS_PER_ADDRESS}.7.7'
+    return Flow(
+        address, _FIRST_PORT + number % _PORTS_PER_ADDRESS, *SERVICE_ADDRESS
+    )
 
 
-def _key(flow: Flow) -> bytes:
+def _flow_key(flow: Flow) -> bytes:
     packet = parse_inner(make_packet(flow, ACK))
     assert packet is not None
     return packet.flow
 
 
-def _teach(entry: PoolEntry, sidecar: PoolSidecar, flows: list[Flow]) -> None:
+def _add_routes(
+    entry: PoolEntry, sidecar: PoolSidecar, flows: list[Flow]
+) -> None:
     own = pack_address(sidecar.address)
     for flow in flows:
-        entry.ingress.learn(Owner(_key(flow), own, 1, 1), _SENDER)
+        entry.ingress.learn(Owner(_flow_key(flow), own, 1, 1), _SENDER)
 
 
-def _own(sidecar: PoolSidecar, flows: list[Flow], now: float) -> None:
+def _add_flows(sidecar: PoolSidecar, flows: list[Flow], now: float) -> None:
     for flow in flows:
-        sidecar.handler.flows.add(_key(flow), now)
+        sidecar.handler.flows.add(_flow_key(flow), now)
 
 
-def _point(sidecar: PoolSidecar, count: int) -> None:
+def _add_pointers(sidecar: PoolSidecar, count: int) -> None:
     pointer = Pointer(bytes(6), 1, 1, 1000)
     for number in range(count):
         sidecar.handler.pointers.put(digest64(str(number)), pointer)
 
 
-def _bodies(sidecar: PoolSidecar, packets: list[bytes]) -> list[bytes]:
+def _seal_known(sidecar: PoolSidecar, packets: list[bytes]) -> list[bytes]:
     return [_seal(sidecar, NAMED, raw) for raw in packets]
 
 
-def _offers(sidecar: PoolSidecar, packets: list[bytes]) -> list[bytes]:
+def _seal_new(sidecar: PoolSidecar, packets: list[bytes]) -> list[bytes]:
     return [_seal(sidecar, UNCACHED, raw) for raw in packets]
 
 
@@ -185,10 +196,10 @@
     return sidecar.context.peers.keys.seal(envelope.pack())
 
 
-def _naive() -> Callable[[bytes], None]:
-    """Return a forwarder by hash modulo hosts that remembers nothing."""
-    hosts = [host_address(number) for number in range(_POOLS[0])]
-    transport = _Sink()
+def _make_naive_forwarder() -> Callable[[bytes], None]:
+    """Return a stateless forwarder by hash modulo hosts."""
+    hosts = [host_address(number) for number in range(_POOL_HOSTS[0])]
+    transport = _DiscardingTransport()
 
     def forward(raw: bytes) -> None:
         packet = parse_inner(raw)
@@ -198,8 +209,8 @@
     return forward
 
 
-def _weigh(fill: Callable[[], None]) -> float:
-    """Return the bytes that ``fill`` leaves behind."""
+def _measure_memory(fill: Callable[[], None]) -> float:
+    """Return the growth of resident memory by ``fill`` in bytes."""
     gc.collect()
     before = _resident_bytes()
     fill()
@@ -212,27 +223,31 @@
     return int(pages) * resource.getpagesize()
 
 
-def _time(raws: list[bytes], act: Callable[[bytes], None]) -> float:
-    """Return the microseconds of one call: the best of several rounds."""
-    return min(_time_once(raws, act) for _ in range(_REPEATS))
+def _best_microseconds(
+    datagrams: list[bytes], handle: Callable[[bytes], None]
+) -> float:
+    """Return the microseconds per call in the fastest of several rounds."""
+    return min(_mean_microseconds(datagrams, handle) for _ in range(_ROUNDS))
 
 
-def _time_once(raws: list[bytes], act: Callable[[bytes], None]) -> float:
+def _mean_microseconds(
+    datagrams: list[bytes], handle: Callable[[bytes], None]
+) -> float:
     start = time.perf_counter()
-    for raw in raws:
-        act(raw)
+    for raw in datagrams:
+        handle(raw)
     elapsed = time.perf_counter() - start
-    return elapsed / len(raws) * _MICROSECONDS
+    return elapsed / len(datagrams) * _MICROSECONDS
 
 
 def _measure_control(seed: int, hosts: int) -> dict[str, float]:
-    """Count what one sidecar tells its pool after a host came."""
+    """Measure the control traffic of a sidecar after a host was added."""
     pool = Pool(seed)
     plan = PoolPlan(dict.fromkeys(range(hosts), 'active'))
     sidecar = pool.add_sidecar(f'{SERVICE}-0', host_address(0))
     pool.publish(plan.next_site())
     pool.run(_SETTLE_SECONDS)
-    _own(sidecar, _ranked_first(sidecar, hosts), pool.clock.now)
+    _add_flows(sidecar, _primary_flows(sidecar, hosts), pool.clock.now)
     plan.states[hosts] = 'active'
     receivers: set[Address] = set()
     sizes: list[int] = []
@@ -245,26 +260,32 @@
     start = time.process_time()
     pool.publish(plan.next_site())
     pool.run(_CONTROL_SECONDS)
-    used = time.process_time() - start
+    cpu_seconds = time.process_time() - start
     return {
         'bytes_a_second': sum(sizes) / _CONTROL_SECONDS,
         'datagrams_a_second': len(sizes) / _CONTROL_SECONDS,
         'peers': len(receivers),
-        'share_of_a_core': used / _CONTROL_SECONDS,
+        'share_of_a_core': cpu_seconds / _CONTROL_SECONDS,
     }
 
 
-def _ranked_first(sidecar: PoolSidecar, hosts: int) -> list[Flow]:
-    """Return flows that rank this host first, as many as it should bear."""
+def _primary_flows(sidecar: PoolSidecar, hosts: int) -> list[Flow]:
+    """Return flows of one host at the design size.
+
+    In the small pool it is the primary host of all of them.
+    """
     flows = (_flow(number) for number in itertools.count())
-    if hosts > _POOLS[0]:
-        # Far more numbers would have to be ranked; any flows cost no less.
-        return list(itertools.islice(flows, _HOST_FLOWS))
+    if hosts > _POOL_HOSTS[0]:
+        # Finding flows with this primary host would take far more ranking,
+        # and any other flows cost no less.
+        return list(itertools.islice(flows, _FLOWS_PER_HOST))
     service = sidecar.context.service
     assert service is not None
     known = sidecar.context.router.ranks(service).known
     own = sidecar.process.name
     first = (
-        flow for flow in flows if known(flow_number(_key(flow)))[0].name == own
+        flow
+        for flow in flows
+        if known(flow_number(_flow_key(flow)))[0].name == own
     )
-    return list(itertools.islice(first, _HOST_FLOWS))
+    return list(itertools.islice(first, _FLOWS_PER_HOST))
--- a/siskinbank/lab/fairness.py
+++ b/siskinbank/lab/fairness.py
@@ -1,4 +1,4 @@
-"""How evenly a pool is loaded, with long and short flows."""
+"""Measures how evenly long and short flows are balanced."""
 
 import random
 import statistics
@@ -6,7 +6,11 @@
 from dataclasses import dataclass
 from typing import Any
 
-from siskinbank.lab.bearing import BearingUpstream, add_bearing, host_name
+from siskinbank.lab.bearing import (
+    LimitedUpstream,
+    add_monitored_sidecar,
+    host_name,
+)
 from siskinbank.lab.experiment import Bound, ExperimentReport, at_most
 from siskinbank.lab.policies import POLICIES, NaivePool
 from siskinbank.lab.pool import Pool
@@ -21,25 +25,35 @@
 
 __all__ = ('Balance', 'measure_fairness', 'measure_pool')
 
-_TARGET = 1.10
-_CONTROL_BYTES_A_SECOND = 28_000
+_MAX_LOAD_RATIO = 1.10
+_MAX_CONTROL_BYTES_PER_SECOND = 28_000
 _SETTLE_SECONDS = 25
 _MEASURED_SECONDS = 10
 _LAG_SECONDS = 10.0
-#: Pools up to this size are measured with a late exchange too.
-_SMALL = 10
-#: Octets of IP and UDP headers around each message.
+#: Pools up to this size are also measured with a delayed load exchange.
+_MAX_HOSTS_WITH_LAG = 10
+#: IPv4 and UDP headers of each message.
 _HEADER_BYTES = 28
 
 
 @dataclass(frozen=True, slots=True)
 class Balance:
-    """The busiest host's load over the mean, and what it cost."""
+    """Balance of a pool and its cost.
+
+    Attributes:
+        worst_ratio: Maximum over time of the ratio of the highest load of a
+            host to the mean load.
+        mean: Mean over time of that ratio.
+        hops: Extra hops per opened flow.
+        control_bytes_per_second: Bytes per second of the load exchange, sent
+            and received, per host.
+        refused: Number of refused flows.
+    """
 
-    worst: float
+    worst_ratio: float
     mean: float
     hops: float
-    octets_a_second: float
+    control_bytes_per_second: float
     refused: int
 
 
@@ -49,34 +63,40 @@
     hosts: int,
     flows: int,
 ) -> ExperimentReport:
-    """Measure pools of 7 and 100 hosts, or of ``hosts`` if that is not 0."""
+    """Measure pools of 7 and 100 hosts, or of ``hosts`` if it is not 0."""
     sizes = [hosts] if hosts else [7, 100]
-    ours: dict[str, Any] = {}
+    results: dict[str, Any] = {}
     naive: dict[str, Any] = {}
     bounds: list[Bound] = []
     for size in sizes:
-        arrivals = _arrivals(seed, flows * size)
-        for lag in (0,) if size > _SMALL else (0, _LAG_SECONDS):
-            name = f'{size} hosts, exchange lags {lag:g} s'
-            balance = measure_pool(seed, entries, size, arrivals, lag)
-            ours[f'{name}: busiest / mean'] = balance.worst
-            ours[f'{name}: busiest / mean, average'] = balance.mean
-            ours[f'{name}: extra hops'] = balance.hops
-            ours[f'{name}: refused'] = balance.refused
-            ours[f'{name}: bytes a second'] = balance.octets_a_second
-            # What the hosts report lags or says zero in either case; that the
-            # exchange between the sidecars lags too is shown without a bound.
-            if not lag:
-                bounds.append(at_most(name, _TARGET, balance.worst))
+        arrivals = _draw_arrivals(seed, flows * size)
+        for lag_seconds in (
+            (0,) if size > _MAX_HOSTS_WITH_LAG else (0, _LAG_SECONDS)
+        ):
+            name = f'{size} hosts, exchange lags {lag_seconds:g} s'
+            balance = measure_pool(seed, entries, size, arrivals, lag_seconds)
+            results[f'{name}: busiest / mean'] = balance.worst_ratio
+            results[f'{name}: busiest / mean, average'] = balance.mean
+            results[f'{name}: extra hops'] = balance.hops
+            results[f'{name}: refused'] = balance.refused
+            results[f'{name}: bytes a second'] = (
+                balance.control_bytes_per_second
+            )
+            # The load reports of hosts lag or are zero in both cases. The run
+            # with a delayed exchange between sidecars has no bound.
+            if not lag_seconds:
+                bounds.append(
+                    at_most(name, _MAX_LOAD_RATIO, balance.worst_ratio)
+                )
             bounds.append(
                 at_most(
                     f'{name}: control bytes a second',
-                    _CONTROL_BYTES_A_SECOND,
-                    balance.octets_a_second,
+                    _MAX_CONTROL_BYTES_PER_SECOND,
+                    balance.control_bytes_per_second,
                 ),
             )
         naive.update(_measure_naive(seed, size, arrivals))
-    return ExperimentReport('fairness', seed, ours, naive, bounds)
+    return ExperimentReport('fairness', seed, results, naive, bounds)
 
 
 def measure_pool(
@@ -84,69 +104,77 @@
     entries: int,
     hosts: int,
     arrivals: list[Arrival],
-    lag: float,
+    lag_seconds: float,
     weights: dict[int, float] | None = None,
 ) -> Balance:
     """Send the flows through real entries and sidecars.
 
-    What the hosts' own load endpoints say plays no part in the choice. ``lag``
-    delays what the sidecars tell each other, which claims to be fresh.
+    The load endpoints of the hosts do not affect the choice of a host.
+
+    Args:
+        seed: Seed of the pool.
+        entries: Number of entries.
+        hosts: Number of hosts.
+        arrivals: Flows to send.
+        lag_seconds: Delay of the load reports between sidecars, which are
+            still taken for current ones.
+        weights: Weights of hosts by number, where they differ from 1.
     """
     pool = Pool(seed)
     for number in range(entries):
         pool.add_entry(f'entry-{number}', number)
     for number in range(hosts):
-        upstream = BearingUpstream(says_zero=bool(number % 2))
-        sidecar = add_bearing(pool, number, upstream)
-        if lag:
-            _delay(pool, sidecar.handler.exchange, lag)
+        upstream = LimitedUpstream(reports_zero=bool(number % 2))
+        sidecar = add_monitored_sidecar(pool, number, upstream)
+        if lag_seconds:
+            _delay_exchange(pool, sidecar.handler.exchange, lag_seconds)
     shape = SiteShape(hosts)
     pool.publish(shape.site(1, weights=weights))
-    octets = _count_exchange(pool)
+    byte_count = _count_exchange_bytes(pool)
     traffic = Traffic(pool, arrivals)
     traffic.run(_SETTLE_SECONDS)
     ratios = []
     for second in range(_MEASURED_SECONDS):
         traffic.run(_SETTLE_SECONDS + second)
-        ratios.append(_busiest(_loads(pool, hosts), weights or {}))
+        ratios.append(_busiest_ratio(_loads(pool, hosts), weights or {}))
     opened = _total(pool, 'flows_opened')
     return Balance(
         max(ratios),
         statistics.mean(ratios),
         _total(pool, 'packets_passed_on') / max(opened, 1),
-        2 * octets[0] / pool.clock.now / hosts,
+        2 * byte_count[0] / pool.clock.now / hosts,
         traffic.refused,
     )
 
 
-def _arrivals(seed: int, flows: int) -> list[Arrival]:
+def _draw_arrivals(seed: int, flows: int) -> list[Arrival]:
     seconds = _SETTLE_SECONDS + _MEASURED_SECONDS
     return draw_arrivals(random.Random(seed), flows, seconds)
 
 
-def _delay(pool: Pool, exchange: Any, lag: float) -> None:
+def _delay_exchange(pool: Pool, exchange: Any, lag_seconds: float) -> None:
     learn = exchange.learn
 
-    def learn_late(received: PoolLoad) -> None:
-        pool.network.after(lag, lambda: learn(received))
+    def receive_late(received: PoolLoad) -> None:
+        pool.network.after(lag_seconds, lambda: learn(received))
 
-    exchange.learn = learn_late
+    exchange.learn = receive_late
 
 
-def _count_exchange(pool: Pool) -> list[int]:
-    octets = [0]
+def _count_exchange_bytes(pool: Pool) -> list[int]:
+    byte_count = [0]
     for sidecar in pool.sidecars.values():
         peers = sidecar.context.peers
-        _count_sent(peers, octets)
-    return octets
+        _count_sent_bytes(peers, byte_count)
+    return byte_count
 
 
-def _count_sent(peers: Any, octets: list[int]) -> None:
+def _count_sent_bytes(peers: Any, byte_count: list[int]) -> None:
     send = peers.send_message
 
     def count(sent: Any, receiver: Any) -> None:
         if isinstance(sent, PoolLoad):
-            octets[0] += len(peers.keys.seal(encode(sent))) + _HEADER_BYTES
+            byte_count[0] += len(peers.keys.seal(encode(sent))) + _HEADER_BYTES
         send(sent, receiver)
 
     peers.send_message = count
@@ -156,12 +184,12 @@
     loads = []
     for number in range(hosts):
         upstream = pool.sidecars[host_name(number)].upstream
-        assert isinstance(upstream, BearingUpstream)
-        loads.append(len(upstream.open))
+        assert isinstance(upstream, LimitedUpstream)
+        loads.append(len(upstream.open_flows))
     return loads
 
 
-def _busiest(loads: Sequence[int], weights: dict[int, float]) -> float:
+def _busiest_ratio(loads: Sequence[int], weights: dict[int, float]) -> float:
     total = sum(weights.get(number, 1) for number in range(len(loads)))
     mean = sum(loads) / total
     return max(
@@ -182,18 +210,22 @@
     hosts: int,
     arrivals: Sequence[Arrival],
 ) -> dict[str, Any]:
-    samples = [
+    sample_times = [
         float(_SETTLE_SECONDS + second) for second in range(_MEASURED_SECONDS)
     ]
     figures = {}
     for name, pick in POLICIES.items():
-        for says, lag, zero in (
+        for label, lag_seconds, reports_zero_load in (
             ('reports lag 10 s', _LAG_SECONDS, False),
             ('reports say zero', 0, True),
         ):
             rng = random.Random(seed)
-            naive = NaivePool(pick, hosts, lag, zero, rng)
-            taken = naive.run(arrivals, samples)
-            worst = max(_busiest(loads, {}) for loads in taken)
-            figures[f'{hosts} hosts, {name}, {says}: busiest / mean'] = worst
+            naive = NaivePool(pick, hosts, lag_seconds, reports_zero_load, rng)
+            load_samples = naive.run(arrivals, sample_times)
+            worst_ratio = max(
+                _busiest_ratio(loads, {}) for loads in load_samples
+            )
+            figures[f'{hosts} hosts, {name}, {label}: busiest / mean'] = (
+                worst_ratio
+            )
     return figures
--- a/siskinbank/lab/flow_traffic.py
+++ b/siskinbank/lab/flow_traffic.py
@@ -1,4 +1,4 @@
-"""Long-lived flows through a pool in memory, and what became of each."""
+"""Sends long-lived flows through an in-memory pool and tracks delivery."""
 
 import random
 from collections import Counter
@@ -20,43 +20,52 @@
 
 __all__ = ('FlowTraffic', 'LongFlow')
 
-#: So many packets in a row without delivery break a flow.
-_LOST_IN_A_ROW = 3
+#: A flow is broken after this many consecutive lost packets.
+_BROKEN_AFTER_LOSSES = 3
 _UDP_SHARE = 0.2
-_SYN_COPY_SHARE = 0.3
-_SYN_COPY_SECONDS = 3.0
+_SYN_RETRANSMIT_SHARE = 0.3
+_MAX_SYN_RETRANSMIT_SECONDS = 3.0
 _SEQUENCE_BYTES = 8
 _BODY_OFFSET = 13
 _PACKET_KIND = 1
 _HOPS_OFFSET = _BODY_OFFSET + 2
 _HOPS_SHIFT = 4
-_FLOWS_AN_ADDRESS = 10_000
+_FLOWS_PER_ADDRESS = 10_000
 _FIRST_PORT = 2000
 
 
 @dataclass(slots=True)
 class LongFlow:
-    """One flow, which its caller keeps open to the end.
-
-    ``owner`` is the host that took it; ``naive`` are the hosts that the naive
-    balancers chose for its first packet.
+    """One flow, which its caller keeps open until the end of the run.
+
+    Attributes:
+        endpoints: Addresses and ports of caller and service.
+        number: 64-bit hash of the flow.
+        udp: Whether it is a UDP flow.
+        owner: Host that accepted the flow.
+        naive_hosts: Hosts that the naive balancers chose for the first
+            packet, by balancer.
+        pending_sequence: Sequence number of the packet whose delivery is not
+            checked yet.
+        consecutive_losses: Number of packets lost since the last delivery.
+        failure: Why the flow broke.
     """
 
-    ends: Flow
+    endpoints: Flow
     number: int
     udp: bool
     owner: str | None = None
-    naive: dict[str, str] = field(default_factory=dict)
-    waiting: int | None = None
-    lost_in_a_row: int = 0
-    broken: str | None = None
+    naive_hosts: dict[str, str] = field(default_factory=dict)
+    pending_sequence: int | None = None
+    consecutive_losses: int = 0
+    failure: str | None = None
 
 
 class FlowTraffic:
-    """Sends packets of all flows and watches where they arrive."""
+    """Sends packets of all flows and records where they are delivered."""
 
     def __init__(self, pool: Pool, rng: random.Random) -> None:
-        """Send through ``pool`` and watch its network."""
+        """Initialize without flows and observe the network of ``pool``."""
         self._pool = pool
         self._rng = rng
         self.flows: list[LongFlow] = []
@@ -67,64 +76,66 @@
         self.hops: Counter[int] = Counter()
         self.moved_hops: Counter[int] = Counter()
         self.packets = 0
-        self.lost = 0
+        self.lost_packets = 0
         self.two_owners: set[int] = set()
-        self.dead: set[str] = set()
+        self.dead_hosts: set[str] = set()
         self._sequence = 0
         self._hosts = {host_address(number)[0]: number for number in range(999)}
-        self._arrived: dict[int, str] = {}
-        self._hops_of: dict[int, int] = {}
+        self._delivered_to: dict[int, str] = {}
+        self._hops_by_sequence: dict[int, int] = {}
         self._owners: dict[int, int] = {}
-        self._firsts: dict[tuple[int, int], str] = {}
+        self._primary_cache: dict[tuple[int, int], str] = {}
         self._ranks: dict[int, Rank] = {}
-        pool.network.watch = self._watch
+        pool.network.watch = self._observe
         pool.network.may_lose = _is_control
 
     def open(self, count: int) -> None:
-        """Open flows; some first packets come again through other entries."""
+        """Open flows; some first packets are retransmitted to any entry."""
         for _ in range(count):
             flow = self._new_flow()
             self.flows.append(flow)
             self._send(flow, first=True)
-            if self._rng.random() < _SYN_COPY_SHARE:
-                self._send_copy_later(flow)
+            if self._rng.random() < _SYN_RETRANSMIT_SHARE:
+                self._retransmit_later(flow)
 
     def step(self, site: Site) -> None:
-        """Judge the last packet of each flow and send the next one."""
+        """Check the last packet of each flow and send the next one."""
         for flow in self.flows:
-            if flow.broken is None:
-                self._judge(flow, site)
+            if flow.failure is None:
+                self._check_delivery(flow, site)
         for flow in self.flows:
-            if flow.broken is None:
+            if flow.failure is None:
                 self._send(flow, first=flow.owner is None)
 
     def finish(self, site: Site) -> None:
-        """Judge the last packets."""
+        """Check the delivery of the last packet of each flow."""
         for flow in self.flows:
-            if flow.broken is None:
-                self._judge(flow, site)
+            if flow.failure is None:
+                self._check_delivery(flow, site)
 
-    def broken(self) -> list[LongFlow]:
-        """Return the flows that broke though their host lives."""
+    def broken_flows(self) -> list[LongFlow]:
+        """Return the broken flows whose owner was not killed."""
         return [
             flow
             for flow in self.flows
-            if flow.broken and flow.owner not in self.dead
+            if flow.failure and flow.owner not in self.dead_hosts
         ]
 
     def _new_flow(self) -> LongFlow:
         count = len(self.flows)
-        address = f'10.9.0.{count // _FLOWS_AN_ADDRESS}'
-        port = _FIRST_PORT + count % _FLOWS_AN_ADDRESS
-        ends = Flow(address, port, *SERVICE_ADDRESS)
+        address = f'10.9.0.{count // _FLOWS_PER_ADDRESS}'
+        port = _FIRST_PORT + count % _FLOWS_PER_ADDRESS
+        endpoints = Flow(address, port, *SERVICE_ADDRESS)
         udp = self._rng.random() < _UDP_SHARE
-        packet = parse_inner(make_udp(ends) if udp else make_packet(ends, SYN))
+        packet = parse_inner(
+            make_udp(endpoints) if udp else make_packet(endpoints, SYN)
+        )
         assert packet is not None
-        return LongFlow(ends, packet.key, udp)
+        return LongFlow(endpoints, packet.key, udp)
 
-    def _send_copy_later(self, flow: LongFlow) -> None:
-        delay = self._rng.uniform(0, _SYN_COPY_SECONDS)
-        raw = self._packet(flow, first=True, sequence=0)
+    def _retransmit_later(self, flow: LongFlow) -> None:
+        delay = self._rng.uniform(0, _MAX_SYN_RETRANSMIT_SECONDS)
+        raw = self._make_packet(flow, first=True, sequence=0)
 
         def send() -> None:
             self._pool.spray(raw)
@@ -133,89 +144,96 @@
 
     def _send(self, flow: LongFlow, *, first: bool) -> None:
         self._sequence += 1
-        flow.waiting = self._sequence
+        flow.pending_sequence = self._sequence
         self.packets += 1
-        raw = self._packet(flow, first=first, sequence=self._sequence)
+        raw = self._make_packet(flow, first=first, sequence=self._sequence)
         entry = self._pool.spray(raw)
-        self._send_naively(flow, entry)
+        self._record_naive_choices(flow, entry)
 
-    def _packet(self, flow: LongFlow, *, first: bool, sequence: int) -> bytes:
+    def _make_packet(
+        self, flow: LongFlow, *, first: bool, sequence: int
+    ) -> bytes:
         payload = sequence.to_bytes(_SEQUENCE_BYTES, 'big')
         if flow.udp:
-            return make_udp(flow.ends, payload)
-        return make_packet(flow.ends, SYN if first else ACK, payload)
+            return make_udp(flow.endpoints, payload)
+        return make_packet(flow.endpoints, SYN if first else ACK, payload)
 
-    def _send_naively(self, flow: LongFlow, entry: PoolEntry) -> None:
+    def _record_naive_choices(self, flow: LongFlow, entry: PoolEntry) -> None:
         site = entry.view.site
         if site is None:
             return
-        hosts = _present(site)
+        hosts = _hosts_in_service(site)
         choices = {
             'modulo': hosts[flow.number % len(hosts)].name,
-            'rendezvous': self._first(site, flow.number),
+            'rendezvous': self._primary_host(site, flow.number),
         }
         for name, chosen in choices.items():
-            if flow.naive.setdefault(name, chosen) != chosen:
+            if flow.naive_hosts.setdefault(name, chosen) != chosen:
                 self.naive_broken[name].add(flow.number)
 
-    def _watch(self, datagram: bytes, receiver: tuple[str, int]) -> None:
+    def _observe(self, datagram: bytes, receiver: tuple[str, int]) -> None:
         if receiver[1] == UPSTREAM_PORT:
-            self._note_arrival(datagram, receiver[0])
+            self._record_delivery(datagram, receiver[0])
         elif datagram[_BODY_OFFSET] == _PACKET_KIND:
             sequence = _sequence_of(datagram)
             hops = datagram[_HOPS_OFFSET] >> _HOPS_SHIFT
-            self._hops_of[sequence] = max(hops, self._hops_of.get(sequence, 0))
+            self._hops_by_sequence[sequence] = max(
+                hops, self._hops_by_sequence.get(sequence, 0)
+            )
 
-    def _note_arrival(self, raw: bytes, address: str) -> None:
+    def _record_delivery(self, raw: bytes, address: str) -> None:
         host = self._hosts[address]
         sequence = _sequence_of(raw)
         packet = parse_inner(raw)
         assert packet is not None
-        self._arrived[sequence] = f'{SERVICE}-{host}'
+        self._delivered_to[sequence] = f'{SERVICE}-{host}'
         if self._owners.setdefault(packet.key, host) != host:
             self.two_owners.add(packet.key)
 
-    def _judge(self, flow: LongFlow, site: Site) -> None:
-        if flow.waiting is None:
+    def _check_delivery(self, flow: LongFlow, site: Site) -> None:
+        if flow.pending_sequence is None:
             return
-        arrived = self._arrived.pop(flow.waiting, None)
-        hops = self._hops_of.pop(flow.waiting, 0)
-        flow.waiting = None
+        arrived = self._delivered_to.pop(flow.pending_sequence, None)
+        hops = self._hops_by_sequence.pop(flow.pending_sequence, 0)
+        flow.pending_sequence = None
         if arrived is None:
-            self._judge_lost(flow)
+            self._record_loss(flow)
             return
-        flow.lost_in_a_row = 0
+        flow.consecutive_losses = 0
         opened = flow.owner is None
         flow.owner = flow.owner or arrived
         if arrived != flow.owner:
-            flow.broken = f'delivered to {arrived}, not {flow.owner}'
+            flow.failure = f'delivered to {arrived}, not {flow.owner}'
         if opened:
             return
         self.hops[hops] += 1
-        if self._first(site, flow.number) != flow.owner:
+        if self._primary_host(site, flow.number) != flow.owner:
             self.moved_hops[hops] += 1
 
-    def _judge_lost(self, flow: LongFlow) -> None:
-        if flow.owner in self.dead:
-            flow.broken = 'its host is dead'
+    def _record_loss(self, flow: LongFlow) -> None:
+        if flow.owner in self.dead_hosts:
+            flow.failure = 'its host is dead'
             return
-        self.lost += 1
-        flow.lost_in_a_row += 1
-        if flow.owner is not None and flow.lost_in_a_row >= _LOST_IN_A_ROW:
-            flow.broken = 'lost'
-
-    def _first(self, site: Site, number: int) -> str:
+        self.lost_packets += 1
+        flow.consecutive_losses += 1
+        if (
+            flow.owner is not None
+            and flow.consecutive_losses >= _BROKEN_AFTER_LOSSES
+        ):
+            flow.failure = 'lost'
+
+    def _primary_host(self, site: Site, number: int) -> str:
         key = (site.generation, number)
-        if key not in self._firsts:
+        if key not in self._primary_cache:
             rank = self._ranks.get(site.generation)
             if rank is None:
-                rank = prepare_rendezvous(_present(site), 1)
+                rank = prepare_rendezvous(_hosts_in_service(site), 1)
                 self._ranks[site.generation] = rank
-            self._firsts[key] = rank(number)[0].name
-        return self._firsts[key]
+            self._primary_cache[key] = rank(number)[0].name
+        return self._primary_cache[key]
 
 
-def _present(site: Site) -> list[Host]:
+def _hosts_in_service(site: Site) -> list[Host]:
     hosts = site.services[SERVICE].hosts
     return [host for host in hosts if not site.is_out(host)]
 
--- a/siskinbank/lab/flows.py
+++ b/siskinbank/lab/flows.py
@@ -1,4 +1,4 @@
-"""Flows through planned changes and a host's death, seeded."""
+"""Keeps flows open during planned changes and a host failure."""
 
 import random
 from collections.abc import Callable
@@ -14,23 +14,23 @@
 __all__ = ('FlowPlan', 'measure_flows')
 
 _CHANGES = 10
-_SECONDS_A_CHANGE = 8
-_SPREAD_SECONDS = 5.0
+_CHANGE_SECONDS = 8
+_PUBLISH_SPREAD_SECONDS = 5.0
 _CONTROL_LOSS = 0.03
-_WARM_SECONDS = 3
-_DEATH_SECONDS = 8
-_DOWN_SECONDS = 0.2
-_MIN_ACTIVE = 3
-_MAX_ADDED = 3
-_NEAR_HOPS = 1
-_NEAR_SHARE = 0.95
-_OPENED_SHARE = 0.05
-_QUICK_SECONDS = 1.0
+_SETTLE_SECONDS = 3
+_AFTER_KILL_SECONDS = 8
+_RESTART_SECONDS = 0.2
+_MIN_ACTIVE_HOSTS = 3
+_MAX_ADDED_HOSTS = 3
+_MAX_NEAR_HOPS = 1
+_MIN_NEAR_SHARE = 0.95
+_NEW_FLOW_SHARE = 0.05
+_STEP_SECONDS = 1.0
 
 
 @dataclass(frozen=True, slots=True)
 class FlowPlan:
-    """The sizes of one run."""
+    """Parameters of one run."""
 
     entries: int = 4
     hosts: int = 7
@@ -45,31 +45,32 @@
     hosts: int = 7,
     flows: int = 300,
 ) -> ExperimentReport:
-    """Keep flows open over many changes, and kill a host at the end."""
+    """Keep flows open during planned changes, then kill a host."""
     run = FlowRun(seed, FlowPlan(entries, hosts, flows))
     run.start()
-    run.change_all()
-    planned = [flow.broken for flow in run.traffic.broken()]
+    run.make_changes()
+    broken_by_changes = [flow.failure for flow in run.traffic.broken_flows()]
     run.kill_host()
     traffic = run.traffic
-    after = traffic.broken()
+    broken_in_all = traffic.broken_flows()
     moved = traffic.moved_hops
-    near = sum(moved[hops] for hops in range(_NEAR_HOPS + 1))
+    near_count = sum(moved[hops] for hops in range(_MAX_NEAR_HOPS + 1))
     return ExperimentReport(
         'flows',
         seed,
         {
-            'changes': run.done,
+            'changes': run.changes_made,
             'flows': len(traffic.flows),
-            'broken_by_planned_changes': len(planned),
-            'broken_by_death_elsewhere': len(after) - len(planned),
-            'broken_how': sorted({str(flow.broken) for flow in after}),
+            'broken_by_planned_changes': len(broken_by_changes),
+            'broken_by_death_elsewhere': len(broken_in_all)
+            - len(broken_by_changes),
+            'broken_how': sorted({str(flow.failure) for flow in broken_in_all}),
             'on_dead_host': sum(
-                flow.owner in traffic.dead for flow in traffic.flows
+                flow.owner in traffic.dead_hosts for flow in traffic.flows
             ),
             'two_owners': len(traffic.two_owners),
             'packets': traffic.packets,
-            'packets_lost': traffic.lost,
+            'packets_lost': traffic.lost_packets,
             'packets_of_moved_flows': moved.total(),
             'mean_hops_of_moved': _mean(moved),
             'mean_hops': _mean(traffic.hops),
@@ -81,17 +82,19 @@
             'rendezvous_broken': len(traffic.naive_broken['rendezvous']),
         },
         [
-            at_most('flows broken by planned changes', 0, len(planned)),
+            at_most(
+                'flows broken by planned changes', 0, len(broken_by_changes)
+            ),
             at_most(
                 'flows of other hosts broken by a death',
                 0,
-                len(after) - len(planned),
+                len(broken_in_all) - len(broken_by_changes),
             ),
             at_most('flows with two owners', 0, len(traffic.two_owners)),
             at_least(
                 'share of packets of moved flows with at most 1 extra hop',
-                _NEAR_SHARE,
-                near / max(moved.total(), 1),
+                _MIN_NEAR_SHARE,
+                near_count / max(moved.total(), 1),
             ),
             at_most(
                 'hops of any packet',
@@ -103,10 +106,10 @@
 
 
 class FlowRun:
-    """One pool, its plan and its traffic."""
+    """One run: a pool, its configuration and its traffic."""
 
     def __init__(self, seed: int, plan: FlowPlan) -> None:
-        """Prepare a run."""
+        """Initialize the pool and the traffic without starting a process."""
         self._plan = plan
         self._rng = random.Random(seed)
         self.pool = Pool(seed)
@@ -116,7 +119,7 @@
         self._next_host = plan.hosts
         self._next_entry = 0
         self._site: Site = self._pool_plan.next_site()
-        self.done: list[str] = []
+        self.changes_made: list[str] = []
 
     def start(self) -> None:
         """Start all processes and open the first flows."""
@@ -125,46 +128,46 @@
         for _ in range(self._plan.entries):
             self._add_entry()
         self.pool.publish(self._site)
-        self._run(_WARM_SECONDS)
+        self._run(_SETTLE_SECONDS)
         self.pool.network.loss = self._plan.loss
         self._open(self._plan.flows)
-        self._run(_WARM_SECONDS)
+        self._run(_SETTLE_SECONDS)
 
-    def change_all(self) -> None:
-        """Make planned changes, some of them two or three at once."""
+    def make_changes(self) -> None:
+        """Make planned changes, some of them in groups of two or three."""
         changes: list[Callable[[], str]] = [
             self._add_hosts,
             self._drain_host,
-            self._return_host,
+            self._reactivate_host,
             self._replace_entries_in_turn,
             self._replace_entries_at_once,
             self._restart_sidecar,
-            self._change_twice,
-            self._several_generations,
+            self._make_two_changes,
+            self._publish_several_generations,
         ]
         self._rng.shuffle(changes)
         while len(changes) < self._plan.changes:
             changes.append(self._rng.choice(changes))
         for change in changes[: self._plan.changes]:
-            self.done.append(change())
-            self._open(int(self._plan.flows * _OPENED_SHARE))
-            self._run(_SECONDS_A_CHANGE)
+            self.changes_made.append(change())
+            self._open(int(self._plan.flows * _NEW_FLOW_SHARE))
+            self._run(_CHANGE_SECONDS)
         self.traffic.finish(self._site)
 
     def kill_host(self) -> None:
-        """Kill a host without warning; the configuration follows later."""
+        """Kill a host without notice and remove it from the site later."""
         number = self._rng.choice(sorted(self._states))
         name = f'{SERVICE}-{number}'
         self.pool.kill(name)
-        self.traffic.dead.add(name)
-        self._run(_DEATH_SECONDS)
+        self.traffic.dead_hosts.add(name)
+        self._run(_AFTER_KILL_SECONDS)
         del self._states[number]
         self._publish()
-        self._run(_DEATH_SECONDS)
+        self._run(_AFTER_KILL_SECONDS)
         self.traffic.finish(self._site)
 
     def control_rate(self) -> float:
-        """Return the bytes a second that each sidecar sent for control."""
+        """Return the control bytes per second sent by each sidecar."""
         sent = sum(
             sidecar.process.metrics.total('control_bytes')
             for sidecar in self.pool.sidecars.values()
@@ -173,20 +176,20 @@
 
     def _open(self, count: int) -> None:
         self.traffic.open(count)
-        self.pool.run(_QUICK_SECONDS)
+        self.pool.run(_STEP_SECONDS)
 
     def _run(self, seconds: float) -> None:
-        """Let time pass; each flow sends one packet a second."""
-        for _ in range(int(seconds / _QUICK_SECONDS)):
+        """Advance the clock while each flow sends one packet per second."""
+        for _ in range(int(seconds / _STEP_SECONDS)):
             self.traffic.step(self._site)
-            self.pool.run(_QUICK_SECONDS)
+            self.pool.run(_STEP_SECONDS)
 
     def _publish(self) -> None:
         self._site = self._pool_plan.next_site()
-        self.pool.publish(self._site, _SPREAD_SECONDS)
+        self.pool.publish(self._site, _PUBLISH_SPREAD_SECONDS)
 
     def _add_hosts(self) -> str:
-        count = self._rng.randint(1, _MAX_ADDED)
+        count = self._rng.randint(1, _MAX_ADDED_HOSTS)
         for _ in range(count):
             self._add_sidecar(self._next_host)
             self._states[self._next_host] = 'active'
@@ -200,14 +203,14 @@
             for number, state in self._states.items()
             if state == 'active'
         ]
-        if len(active) <= _MIN_ACTIVE:
+        if len(active) <= _MIN_ACTIVE_HOSTS:
             return self._add_hosts()
         number = self._rng.choice(active)
         self._states[number] = 'draining'
         self._publish()
         return f'drain {number}'
 
-    def _return_host(self) -> str:
+    def _reactivate_host(self) -> str:
         draining = [
             number
             for number, state in self._states.items()
@@ -224,7 +227,7 @@
         for name in list(self.pool.entries):
             if self.pool.entries[name].alive:
                 self._replace_entry(name)
-                self._run(_QUICK_SECONDS)
+                self._run(_STEP_SECONDS)
         return 'replace entries in turn'
 
     def _replace_entries_at_once(self) -> str:
@@ -236,26 +239,30 @@
         return 'replace entries at once'
 
     def _restart_sidecar(self) -> str:
-        """Restart the sidecar alone; its upstream goes on."""
+        """Restart a sidecar while its upstream keeps running."""
         number = self._rng.choice(sorted(self._states))
         name = f'{SERVICE}-{number}'
         upstream = self.pool.sidecars[name].upstream
         self.pool.kill(name)
-        self.pool.run(_DOWN_SECONDS)
+        self.pool.run(_RESTART_SECONDS)
         sidecar = self.pool.add_sidecar(name, host_address(number), upstream)
         sidecar.view.adopt(self._site)
         return f'restart sidecar {number}'
 
-    def _change_twice(self) -> str:
+    def _make_two_changes(self) -> str:
         first = self._add_hosts()
         second = self._drain_host()
         return f'{first} and {second}'
 
-    def _several_generations(self) -> str:
+    def _publish_several_generations(self) -> str:
         parts = []
-        for change in (self._drain_host, self._add_hosts, self._return_host):
+        for change in (
+            self._drain_host,
+            self._add_hosts,
+            self._reactivate_host,
+        ):
             parts.append(change())
-            self._run(_QUICK_SECONDS)
+            self._run(_STEP_SECONDS)
         return ', '.join(parts)
 
     def _add_sidecar(self, number: int) -> None:
@@ -275,4 +282,6 @@
 
 def _mean(hops: dict[int, int]) -> float:
     total = sum(hops.values())
-    return sum(hop * count for hop, count in hops.items()) / max(total, 1)
+    return sum(hop_count * count for hop_count, count in hops.items()) / max(
+        total, 1
+    )
--- a/siskinbank/lab/forwarding.py
+++ b/siskinbank/lab/forwarding.py
@@ -1,4 +1,4 @@
-"""Packets a second of one entry against a bare forwarder."""
+"""Compares the packet rate of an entry with that of a bare forwarder."""
 
 import asyncio
 import contextlib
@@ -24,21 +24,21 @@
 _HOSTS = 7
 _FLOWS = 1000
 _PAYLOAD_BYTES = 200
-_WINDOW_SECONDS = 1.0
+_MEASURED_SECONDS = 1.0
 _SETTLE_SECONDS = 0.2
 _RECEIVE_BUFFER_BYTES = 8 * 1024 * 1024
-_LEAST_RATIO = 0.5
+_MIN_RATIO = 0.5
 _LOOPBACK = '127.0.0.1'
 _CALLER_PORT = 4000
 _WINDOW_PACKETS = 64
 _START_SECONDS = 1
-_PACE_SECONDS = 0.0005
+_SEND_INTERVAL_SECONDS = 0.0005
 _BUFFER_BYTES = 65536
-_CONTROL = b'\0'
+_CONTROL_PREFIX = b'\0'
 
 
 def measure_forwarding(seed: int, rounds: int) -> ExperimentReport:
-    """Flood an entry and a bare forwarder in turn."""
+    """Measure the packet rates of an entry and a bare forwarder in turn."""
     entry, bare = asyncio.run(_measure(rounds))
     ratio = statistics.median(entry) / max(statistics.median(bare), 1)
     return ExperimentReport(
@@ -46,7 +46,7 @@
         seed,
         {'packets_a_second': statistics.median(entry), 'rounds': entry},
         {'packets_a_second': statistics.median(bare), 'rounds': bare},
-        [at_least('ratio to the bare forwarder', _LEAST_RATIO, ratio)],
+        [at_least('ratio to the bare forwarder', _MIN_RATIO, ratio)],
     )
 
 
@@ -65,18 +65,18 @@
     sink: socket.socket,
     rounds: int,
 ) -> tuple[list[float], list[float]]:
-    own: Address = sink.getsockname()
+    sink_address: Address = sink.getsockname()
     await fleet.start_without_hosts()
-    await _publish_sink(fleet, own)
-    _teach(fleet, own)
+    await _publish_sink(fleet, sink_address)
+    _announce_owner(fleet, sink_address)
     bare = (_LOOPBACK, free_ports(1)[0])
-    await _start_bare(fleet, bare, own)
+    await _start_bare(fleet, bare, sink_address)
     entry = (_LOOPBACK, fleet.entries['entry-1'].fou)
-    packets = _make_packets(_service(fleet))
+    packets = _make_packets(_service_address(fleet))
     rates: dict[Address, list[float]] = {bare: [], entry: []}
     for _ in range(rounds):
         for target, measured in rates.items():
-            rate = await asyncio.to_thread(_drive, packets, target, sink)
+            rate = await asyncio.to_thread(_measure_rate, packets, target, sink)
             measured.append(rate)
     return rates[entry], rates[bare]
 
@@ -124,64 +124,66 @@
     return [make_packet(flow, ACK, bytes(_PAYLOAD_BYTES)) for flow in flows]
 
 
-def _service(fleet: Fleet) -> Address:
+def _service_address(fleet: Fleet) -> Address:
     return '10.77.0.1', fleet.services['packets']['fou']
 
 
-def _teach(fleet: Fleet, sink: Address) -> None:
-    """Tell the entry that the sink owns all flows."""
+def _announce_owner(fleet: Fleet, sink: Address) -> None:
+    """Announce the sink to the entry as the owner of all flows."""
     keys = KeyRing(parse_keys(fleet.key))
-    guard = ReplayGuard()
+    stamps = ReplayGuard()
     bind = (_LOOPBACK, fleet.entries['entry-1'].bind)
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sender:
-        for packet in _make_packets(_service(fleet)):
+        for packet in _make_packets(_service_address(fleet)):
             inner = parse_inner(packet)
             assert inner is not None
-            told = encode(Owner(inner.flow, pack_address(sink), 1, 1))
-            sender.sendto(keys.seal(_CONTROL + guard.stamp() + told), bind)
-            time.sleep(_PACE_SECONDS)
+            message = encode(Owner(inner.flow, pack_address(sink), 1, 1))
+            sender.sendto(
+                keys.seal(_CONTROL_PREFIX + stamps.stamp() + message), bind
+            )
+            time.sleep(_SEND_INTERVAL_SECONDS)
 
 
-def _drive(
+def _measure_rate(
     packets: list[bytes],
     target: Address,
     sink: socket.socket,
 ) -> float:
-    """Return the packets a second with a full window in flight.
+    """Return the packets per second with a constant number in flight.
 
-    A new packet goes in for each that comes out, so that the forwarder is
-    always busy and its queue never overflows.
+    Each received packet is replaced by a new one, which keeps the forwarder
+    busy without overflowing its queue.
     """
     buffer = bytearray(_BUFFER_BYTES)
-    waiting = itertools.cycle(packets)
+    packet_cycle = itertools.cycle(packets)
     count = 0
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sender:
         start = time.monotonic()
-        _fill_window(sender, waiting, target)
-        while time.monotonic() - start < _WINDOW_SECONDS:
+        _fill_window(sender, packet_cycle, target)
+        while time.monotonic() - start < _MEASURED_SECONDS:
             try:
                 sink.recv_into(buffer)
             except TimeoutError:
-                _fill_window(sender, waiting, target)
+                _fill_window(sender, packet_cycle, target)
                 continue
             count += 1
-            sender.sendto(next(waiting), target)
+            sender.sendto(next(packet_cycle), target)
         elapsed = time.monotonic() - start
-    _empty(sink, buffer)
+    _drain(sink, buffer)
     return count / elapsed
 
 
 def _fill_window(
     sender: socket.socket,
-    waiting: Iterator[bytes],
+    packet_cycle: Iterator[bytes],
     target: Address,
 ) -> None:
-    for packet in itertools.islice(waiting, _WINDOW_PACKETS):
+    for packet in itertools.islice(packet_cycle, _WINDOW_PACKETS):
         sender.sendto(packet, target)
 
 
-def _empty(sink: socket.socket, buffer: bytearray) -> None:
-    """Wait until nothing is in flight."""
+def _drain(sink: socket.socket, buffer: bytearray) -> None:
+    """Receive until no packet is in flight."""
     with contextlib.suppress(TimeoutError):
         received = 1
         while received:
--- a/siskinbank/lab/key_cost.py
+++ b/siskinbank/lab/key_cost.py
@@ -1,4 +1,4 @@
-"""What keys cost: packets and streams with them and without, in one run."""
+"""Measures the cost of keys for packets and streams."""
 
 import asyncio
 import random
@@ -23,38 +23,38 @@
 _PAYLOAD_BYTES = 200
 _STREAM_BYTES = 32 * 1024 * 1024
 _CHUNK = bytes(64 * 1024)
-_OPENINGS = 40
+_OPENED_STREAMS = 40
 _MEBIBYTE = 1024 * 1024
 _MILLISECONDS = 1000
 _MICROSECONDS = 1_000_000
-_SEALS = 20_000
+_SEALED_PACKETS = 20_000
 _HEAD_BYTES = 40
-#: The least share of the rate without keys that is left with them.
-_LEAST_PACKETS = 0.5
-_LEAST_BYTES = 0.2
+#: Minimum ratio of the rate with keys to the rate without.
+_MIN_PACKET_SHARE = 0.5
+_MIN_STREAM_SHARE = 0.2
 
 
-class _PlainRing(KeyRing):
-    """Seals nothing and opens all; only for the comparison."""
+class _PlaintextKeyRing(KeyRing):
+    """Passes datagrams unchanged, as the baseline of the comparison."""
 
     def seal(self, body: bytes) -> bytes:
-        """Return the body."""
+        """Return the body unchanged."""
         return body
 
     def seal_parts(self, head: bytes, tail: bytes) -> bytes:
-        """Return the parts in one piece."""
+        """Return the concatenated parts."""
         return head + tail
 
     def open(self, datagram: bytes) -> bytes | None:
-        """Return the datagram."""
+        """Return the datagram unchanged."""
         return datagram
 
 
 def measure_key_cost(seed: int, rounds: int) -> ExperimentReport:
-    """Measure with and without keys in turn; the median of the rounds."""
+    """Measure with and without keys in turn and report the medians."""
     secret = random.Random(seed).randbytes(KEY_BYTES)
     keyed = KeyRing([Key(1, secret)])
-    plain = _PlainRing([Key(1, secret)])
+    plain = _PlaintextKeyRing([Key(1, secret)])
     packets: dict[KeyRing, list[float]] = {keyed: [], plain: []}
     streams: dict[bool, list[tuple[float, float]]] = {True: [], False: []}
     for _ in range(rounds):
@@ -72,12 +72,12 @@
         [
             at_least(
                 'share of the packet rate',
-                _LEAST_PACKETS,
+                _MIN_PACKET_SHARE,
                 with_keys['packets_a_second'] / without['packets_a_second'],
             ),
             at_least(
                 'share of the stream rate',
-                _LEAST_BYTES,
+                _MIN_STREAM_SHARE,
                 with_keys['mebibytes_a_second'] / without['mebibytes_a_second'],
             ),
         ],
@@ -93,22 +93,24 @@
         'packets_a_second': statistics.median(packets),
         'seal_and_open_microseconds': seal_cost,
         'mebibytes_a_second': statistics.median(rate for rate, _ in streams),
-        'opening_milliseconds': statistics.median(each for _, each in streams),
+        'opening_milliseconds': statistics.median(
+            open_milliseconds for _, open_milliseconds in streams
+        ),
     }
 
 
 def _seal_cost(ring: KeyRing) -> float:
-    """Return microseconds to seal one packet and to open it again."""
+    """Return the microseconds to seal and open one packet."""
     head = bytes(_HEAD_BYTES)
     tail = bytes(_PAYLOAD_BYTES)
     started = time.process_time()
-    for _ in range(_SEALS):
+    for _ in range(_SEALED_PACKETS):
         ring.open(ring.seal_parts(head, tail))
-    return (time.process_time() - started) / _SEALS * _MICROSECONDS
+    return (time.process_time() - started) / _SEALED_PACKETS * _MICROSECONDS
 
 
 def _packet_rate(seed: int, ring: KeyRing) -> float:
-    """Return packets a second through entry and sidecar, in one process."""
+    """Return the packets per second of entry and sidecar in one process."""
     pool = Pool(seed, ring)
     pool.add_entry('entry-1', 1)
     for number in range(_HOSTS):
@@ -132,30 +134,30 @@
 
 
 async def _stream_rates(ring: KeyRing, with_tls: bool) -> tuple[float, float]:
-    """Return MiB a second over one stream, and ms to open one."""
+    """Return the MiB per second of a stream and the ms to open one."""
     tasks: set[asyncio.Task[None]] = set()
 
     def accept(stream: MessageStream) -> None:
         tasks.add(asyncio.create_task(_drain(stream)))
 
     streams = PeerStreams(ProcessContext('lab', 'key-cost'), ring)
-    listen, connect = _openers(streams, with_tls)
+    listen, connect = _stream_functions(streams, with_tls)
     server = await listen(('127.0.0.1', 0), accept)
     address = server.sockets[0].getsockname()
     try:
         rate = await _send_all(await connect(address), tasks)
-        each = await _open_many(connect, address)
+        open_milliseconds = await _open_many(connect, address)
         await asyncio.wait(tasks)
     finally:
         server.close()
-    return rate, each
+    return rate, open_milliseconds
 
 
 async def _send_all(
     stream: MessageStream,
     tasks: set[asyncio.Task[None]],
 ) -> float:
-    """Return MiB a second until the other side has it all."""
+    """Return the MiB per second until the receiver has read everything."""
     started = time.process_time()
     for _ in range(_STREAM_BYTES // len(_CHUNK)):
         stream.writer.write(_CHUNK)
@@ -166,12 +168,12 @@
 
 
 async def _open_many(connect: 'Connect', address: Address) -> float:
-    """Return milliseconds to open a stream and close it."""
+    """Return the milliseconds to open and close a stream."""
     started = time.process_time()
-    for _ in range(_OPENINGS):
+    for _ in range(_OPENED_STREAMS):
         stream = await connect(address)
         await stream.close()
-    seconds = (time.process_time() - started) / _OPENINGS
+    seconds = (time.process_time() - started) / _OPENED_STREAMS
     return seconds * _MILLISECONDS
 
 
@@ -182,7 +184,9 @@
 Connect = Callable[[Address], Awaitable[MessageStream]]
 
 
-def _openers(streams: PeerStreams, with_tls: bool) -> tuple[Listen, Connect]:
+def _stream_functions(
+    streams: PeerStreams, with_tls: bool
+) -> tuple[Listen, Connect]:
     if with_tls:
         return streams.listen, streams.connect
 
@@ -190,13 +194,13 @@
         address: Address,
         accept: Callable[[MessageStream], None],
     ) -> asyncio.Server:
-        def take(
+        def on_connect(
             reader: asyncio.StreamReader,
             writer: asyncio.StreamWriter,
         ) -> None:
             accept(MessageStream(reader, writer))
 
-        return await asyncio.start_server(take, *address)
+        return await asyncio.start_server(on_connect, *address)
 
     async def connect(address: Address) -> MessageStream:
         return MessageStream(*await asyncio.open_connection(*address))
--- a/siskinbank/lab/lookups.py
+++ b/siskinbank/lab/lookups.py
@@ -1,4 +1,7 @@
-"""Ways to find the owner of a moved flow, by hops, delay and lost packets."""
+"""Compares ways to find the owner of a flow after the pool has grown.
+
+They are compared by extra hops, delay and lost packets.
+"""
 
 import random
 from collections.abc import Iterator
@@ -20,24 +23,31 @@
 __all__ = ('measure_lookups',)
 
 _HOSTS = 7
-_ADDED = 3
+_ADDED_HOSTS = 3
 _FLOWS = 600
 _FIRST_PORT = 2000
 _SETTLE_SECONDS = 70
-_PACE_SECONDS = 0.005
+_OPEN_INTERVAL_SECONDS = 0.005
 _RETRY_SECONDS = 1.0
-_TRIES = 5
+_MAX_TRIES = 5
 _ONE_WAY_SECONDS = 0.001
-_ASK_TIMEOUT_SECONDS = 0.3
+_QUERY_TIMEOUT_SECONDS = 0.3
 _BUCKETS = 4096
-_NEAR_SHARE = 0.95
+_MIN_NEAR_SHARE = 0.95
 _BODY_OFFSET = 13
 _PACKET_KIND = 1
 
 
 @dataclass(slots=True)
-class Lookups:
-    """How the packets of moved flows fared."""
+class LookupStats:
+    """Results for the packets of moved flows.
+
+    Attributes:
+        hops: Extra hops of each packet that reached the owner.
+        seconds: Delay of each packet that reached the owner.
+        lost_packets: Number of lost packets.
+        never_found: Number of flows whose owner was not reached.
+    """
 
     hops: list[int] = field(default_factory=list)
     seconds: list[float] = field(default_factory=list)
@@ -45,13 +55,13 @@
     never_found: int = 0
 
     def summary(self) -> dict[str, float]:
-        """Return means, and the share with at most one extra hop."""
+        """Return the means and the share with at most one extra hop."""
         count = max(len(self.hops), 1)
-        near = sum(hops <= 1 for hops in self.hops)
+        near_count = sum(hops <= 1 for hops in self.hops)
         return {
             'found': len(self.hops),
             'mean_hops': sum(self.hops) / count,
-            'near_share': near / count,
+            'near_share': near_count / count,
             'mean_seconds': sum(self.seconds) / count,
             'lost_packets': self.lost_packets,
             'never_found': self.never_found,
@@ -59,52 +69,58 @@
 
 
 def measure_lookups(seed: int) -> ExperimentReport:
-    """Find moved flows by pointers, and in the ways weighed against them."""
-    ours: dict[str, dict[str, float]] = {}
+    """Measure lookups by pointers and by the alternatives to them."""
+    results: dict[str, dict[str, float]] = {}
     naive: dict[str, dict[str, float]] = {}
-    for silent in (False, True):
-        label = 'one host silent' if silent else 'all hosts answer'
+    for with_dead_host in (False, True):
+        label = 'one host silent' if with_dead_host else 'all hosts answer'
         run = LookupRun(seed, with_pointers=True)
-        run.silence(silent)
-        naive[f'asking back by rank, {label}'] = run.ask_back().summary()
-        naive[f'bucket occupancy, {label}'] = run.by_buckets().summary()
-        ours[label] = run.pass_on().summary()
-        bare = LookupRun(seed, with_pointers=False)
-        bare.silence(silent)
-        naive[f'by rank only, {label}'] = bare.pass_on().summary()
+        run.kill_new_host(with_dead_host)
+        naive[f'asking back by rank, {label}'] = (
+            run.estimate_queries().summary()
+        )
+        naive[f'bucket occupancy, {label}'] = run.estimate_buckets().summary()
+        results[label] = run.send_packets().summary()
+        without_pointers = LookupRun(seed, with_pointers=False)
+        without_pointers.kill_new_host(with_dead_host)
+        naive[f'by rank only, {label}'] = (
+            without_pointers.send_packets().summary()
+        )
     return ExperimentReport(
         'lookups',
         seed,
-        ours,
+        results,
         naive,
         [
             at_least(
                 'share of moved flows found with at most 1 extra hop',
-                _NEAR_SHARE,
-                ours['all hosts answer']['near_share'],
+                _MIN_NEAR_SHARE,
+                results['all hosts answer']['near_share'],
             ),
         ],
     )
 
 
 class LookupRun:
-    """A pool that has grown, whose entries remember nothing."""
+    """A pool after hosts were added, with a new entry without cached flows."""
 
     def __init__(self, seed: int, *, with_pointers: bool) -> None:
-        """Open flows, add hosts, and replace the entries."""
+        """Initialize the pool: open flows, add hosts and replace the entry."""
         self._rng = random.Random(seed)
         self._pool = Pool(seed)
         plan = PoolPlan(dict.fromkeys(range(_HOSTS), 'active'))
-        for number in range(_HOSTS + _ADDED):
+        for number in range(_HOSTS + _ADDED_HOSTS):
             self._pool.add_sidecar(f'{SERVICE}-{number}', host_address(number))
         self._pool.add_entry('entry-0', 0)
         self._pool.publish(plan.next_site())
         self._pool.run(_SETTLE_SECONDS)
         self._owners = dict(self._open())
         if not with_pointers:
-            self._pool.network.may_lose = _tells_of_flows
+            self._pool.network.may_lose = _is_control
             self._pool.network.loss = 1
-        plan.states.update(dict.fromkeys(range(_HOSTS + _ADDED), 'active'))
+        plan.states.update(
+            dict.fromkeys(range(_HOSTS + _ADDED_HOSTS), 'active')
+        )
         self._site: Site = plan.next_site()
         self._pool.publish(self._site)
         self._pool.run(_SETTLE_SECONDS)
@@ -112,58 +128,58 @@
         entry.view.adopt(self._site)
         hosts = self._site.services[SERVICE].hosts
         self._rank = prepare_rendezvous(hosts, len(hosts))
-        self._silent: str | None = None
+        self._dead_host: str | None = None
         self._arrivals: list[float] = []
         self._hops = 0
-        self._pool.network.watch = self._watch
+        self._pool.network.watch = self._observe
 
-    def silence(self, silent: bool) -> None:
-        """Kill one of the new hosts, which owns no flow."""
-        if silent:
-            self._silent = f'{SERVICE}-{_HOSTS}'
-            self._pool.kill(self._silent)
+    def kill_new_host(self, with_dead_host: bool) -> None:
+        """Kill one of the added hosts, which own no flow, if requested."""
+        if with_dead_host:
+            self._dead_host = f'{SERVICE}-{_HOSTS}'
+            self._pool.kill(self._dead_host)
 
-    def pass_on(self) -> Lookups:
-        """Send one packet of each moved flow, again while it is lost."""
-        found = Lookups()
+    def send_packets(self) -> LookupStats:
+        """Send one packet of each moved flow, with retries."""
+        stats = LookupStats()
         for flow, _number, _owner in self._moved():
-            self._pass_on_one(found, make_packet(flow, ACK, b'x'))
-        return found
+            self._send_packet(stats, make_packet(flow, ACK, b'x'))
+        return stats
 
-    def ask_back(self) -> Lookups:
-        """Work out the same for an entry that asks one host after another."""
-        found = Lookups()
+    def estimate_queries(self) -> LookupStats:
+        """Estimate the results if an entry queries the hosts by rank."""
+        stats = LookupStats()
         for _flow, number, owner in self._moved():
             ranked = self._rank(number)
-            self._ask_in_order(found, ranked, owner)
-        return found
+            self._estimate_query(stats, ranked, owner)
+        return stats
 
-    def by_buckets(self) -> Lookups:
-        """Work out the same for hosts that exchange the buckets they own."""
+    def estimate_buckets(self) -> LookupStats:
+        """Estimate the results if hosts exchange the buckets of their flows."""
         buckets: dict[str, set[int]] = {}
         for number, owner in self._owners.values():
             buckets.setdefault(owner, set()).add(number % _BUCKETS)
-        found = Lookups()
+        stats = LookupStats()
         for _flow, number, owner in self._moved():
             first, *others = self._rank(number)
             bucket = number % _BUCKETS
-            likely = [
+            candidates = [
                 host for host in others if bucket in buckets.get(host.name, ())
             ]
-            if first.name == self._silent:
-                found.lost_packets += 1
-            hops = [host.name for host in likely].index(owner) + 1
-            found.hops.append(hops)
-            delay = _RETRY_SECONDS if first.name == self._silent else 0
-            found.seconds.append(delay + (hops + 1) * _ONE_WAY_SECONDS)
-        return found
+            if first.name == self._dead_host:
+                stats.lost_packets += 1
+            hops = [host.name for host in candidates].index(owner) + 1
+            stats.hops.append(hops)
+            delay = _RETRY_SECONDS if first.name == self._dead_host else 0
+            stats.seconds.append(delay + (hops + 1) * _ONE_WAY_SECONDS)
+        return stats
 
     def _open(self) -> Iterator[tuple[Flow, tuple[int, str]]]:
         for port in range(_FIRST_PORT, _FIRST_PORT + _FLOWS):
             flow = Flow('10.9.0.1', port, *SERVICE_ADDRESS)
             raw = make_packet(flow, SYN)
             self._pool.spray(raw)
-            self._pool.run(_PACE_SECONDS)
+            self._pool.run(_OPEN_INTERVAL_SECONDS)
             packet = parse_inner(raw)
             assert packet is not None
             for name, sidecar in self._pool.sidecars.items():
@@ -171,47 +187,49 @@
                     yield flow, (packet.key, name)
 
     def _moved(self) -> Iterator[tuple[Flow, int, str]]:
-        """Yield the flows whose owner does not rank first any more."""
+        """Yield the flows whose owner is no longer their primary host."""
         for flow, (number, owner) in self._owners.items():
             if self._rank(number)[0].name != owner:
                 yield flow, number, owner
 
-    def _pass_on_one(self, found: Lookups, raw: bytes) -> None:
+    def _send_packet(self, stats: LookupStats, raw: bytes) -> None:
         start = self._pool.clock.now
         self._arrivals.clear()
-        for _ in range(_TRIES):
+        for _ in range(_MAX_TRIES):
             self._hops = 0
             self._pool.spray(raw)
             self._pool.run(_RETRY_SECONDS)
             if self._arrivals:
-                found.hops.append(self._hops)
-                found.seconds.append(self._arrivals[0] - start)
+                stats.hops.append(self._hops)
+                stats.seconds.append(self._arrivals[0] - start)
                 return
-            found.lost_packets += 1
-        found.never_found += 1
+            stats.lost_packets += 1
+        stats.never_found += 1
 
-    def _ask_in_order(
+    def _estimate_query(
         self,
-        found: Lookups,
+        stats: LookupStats,
         ranked: list[Host],
         owner: str,
     ) -> None:
         seconds = _ONE_WAY_SECONDS
         for hops, host in enumerate(ranked):
             if host.name == owner:
-                found.hops.append(2 * hops)
-                found.seconds.append(seconds)
+                stats.hops.append(2 * hops)
+                stats.seconds.append(seconds)
                 return
-            silent = host.name == self._silent
-            seconds += _ASK_TIMEOUT_SECONDS if silent else 2 * _ONE_WAY_SECONDS
+            is_dead = host.name == self._dead_host
+            seconds += (
+                _QUERY_TIMEOUT_SECONDS if is_dead else 2 * _ONE_WAY_SECONDS
+            )
 
-    def _watch(self, datagram: bytes, receiver: Address) -> None:
+    def _observe(self, datagram: bytes, receiver: Address) -> None:
         if receiver[1] == UPSTREAM_PORT:
             self._arrivals.append(self._pool.clock.now)
         elif datagram[_BODY_OFFSET] == _PACKET_KIND:
             self._hops = max(self._hops, datagram[_BODY_OFFSET + 2] >> 4)
 
 
-def _tells_of_flows(datagram: bytes) -> bool:
-    """Whether a datagram is control, so that no pointer arrives."""
+def _is_control(datagram: bytes) -> bool:
+    """Return whether a datagram is control; pointers are sent that way."""
     return datagram[_BODY_OFFSET] != _PACKET_KIND
--- a/siskinbank/lab/naive_traffic.py
+++ b/siskinbank/lab/naive_traffic.py
@@ -1,8 +1,8 @@
-"""The flows of an experiment, sent by hash modulo the live hosts."""
+"""Sends the flows of an experiment by hash modulo the live hosts."""
 
 from collections.abc import Callable, Sequence
 
-from siskinbank.lab.bearing import BearingUpstream, OpenFlow
+from siskinbank.lab.bearing import CallerEndpoint, LimitedUpstream
 from siskinbank.lab.pool import Pool
 from siskinbank.lab.standins.packets import ACK, FIN, SYN, make_packet
 from siskinbank.lab.traffic import Arrival
@@ -12,60 +12,60 @@
 
 
 class NaiveTraffic:
-    """Hands each packet straight to the host that its hash names.
+    """Sends each packet directly to the host selected by its hash.
 
-    A flow whose host changes, or whose host does not know it, is broken; its
-    caller opens it anew with the next packet.
+    A flow is broken when its host changes. Its caller opens it again with the
+    next packet.
     """
 
     def __init__(
         self,
         pool: Pool,
-        upstreams: Sequence[BearingUpstream],
+        upstreams: Sequence[LimitedUpstream],
         arrivals: Sequence[Arrival],
-        beat_seconds: float,
+        send_interval_seconds: float,
     ) -> None:
-        """Plan the packets of ``arrivals`` on the pool's clock."""
+        """Initialize the schedule of packets on the clock of ``pool``."""
         self._pool = pool
-        self._beat = beat_seconds
+        self._send_interval_seconds = send_interval_seconds
         self.upstreams = upstreams
-        self.out: frozenset[int] = frozenset()
-        self.broken_flows: set[OpenFlow] = set()
+        self.hosts_out: frozenset[int] = frozenset()
+        self.broken_flows: set[CallerEndpoint] = set()
         for arrival in arrivals:
-            pool.network.after(arrival.at, self._sender(arrival, None))
+            pool.network.after(arrival.at, self._make_sender(arrival, None))
 
     def run(self, until: float) -> None:
-        """Let virtual time pass until ``until``."""
+        """Advance the virtual clock to ``until``."""
         self._pool.run(max(until - self._pool.clock.now, 0))
 
-    def _sender(
+    def _make_sender(
         self,
         arrival: Arrival,
-        host: int | None,
+        last_host: int | None,
     ) -> Callable[[], None]:
-        return lambda: self._send(arrival, host)
+        return lambda: self._send(arrival, last_host)
 
-    def _send(self, arrival: Arrival, host: int | None) -> None:
+    def _send(self, arrival: Arrival, last_host: int | None) -> None:
         now = self._pool.clock.now
-        live = [
+        live_hosts = [
             number
             for number, upstream in enumerate(self.upstreams)
-            if number not in self.out and upstream.is_up(now)
+            if number not in self.hosts_out and upstream.is_up(now)
         ]
-        if not live:
+        if not live_hosts:
             return
-        chosen = live[arrival.key % len(live)]
-        is_over = now >= arrival.at + arrival.life
-        flags = FIN | ACK if is_over else ACK
-        if host != chosen:
-            if host is not None:
-                self.broken_flows.add(arrival.known)
+        chosen_host = live_hosts[arrival.key % len(live_hosts)]
+        is_finished = now >= arrival.at + arrival.life
+        flags = FIN | ACK if is_finished else ACK
+        if last_host != chosen_host:
+            if last_host is not None:
+                self.broken_flows.add(arrival.endpoint)
             flags = SYN
         packet = parse_inner(make_packet(arrival.flow, flags))
         assert packet is not None
-        self.upstreams[chosen].receive(packet, now)
-        if not is_over:
+        self.upstreams[chosen_host].receive(packet, now)
+        if not is_finished:
             self._pool.network.after(
-                self._beat,
-                self._sender(arrival, chosen),
+                self._send_interval_seconds,
+                self._make_sender(arrival, chosen_host),
             )
--- a/siskinbank/lab/plain_streams.py
+++ b/siskinbank/lab/plain_streams.py
@@ -1,4 +1,4 @@
-"""Streams without TLS, so that a faulty link can see their messages."""
+"""Streams without TLS, so that a simulated faulty link can parse messages."""
 
 from typing import Any
 
@@ -8,7 +8,7 @@
 
 
 class PlainStreams(PeerStreams):
-    """Opens and accepts streams in the clear; for experiments only."""
+    """Opens and accepts unencrypted streams; for experiments only."""
 
     def _client_options(self) -> dict[str, Any]:
         return {}
--- a/siskinbank/lab/pool.py
+++ b/siskinbank/lab/pool.py
@@ -1,4 +1,4 @@
-"""A pool in memory: the real entries and sidecars over a fake network."""
+"""An in-memory pool of real entries and sidecars on a fake network."""
 
 import asyncio
 import random
@@ -28,39 +28,43 @@
 
 __all__ = ('UPSTREAM_PORT', 'FakeUpstream', 'Pool', 'PoolEntry', 'PoolSidecar')
 
-_TICK_SECONDS = 0.1
-_KEYS = KeyRing([Key(1, bytes(KEY_BYTES))])
-#: Where the fake upstreams receive, at their hosts' own addresses.
+_TIMER_TICK_SECONDS = 0.1
+_DEFAULT_KEYS = KeyRing([Key(1, bytes(KEY_BYTES))])
+#: UDP port of the fake upstreams, at the addresses of their hosts.
 UPSTREAM_PORT = 5555
 
 
 @dataclass(slots=True)
 class FakeUpstream:
-    """Counts what an upstream gets, flow by flow.
-
-    ``broken`` holds flows of which a packet came that the upstream has no
-    state for.
+    """Counts the packets that an upstream receives, by flow.
+
+    Attributes:
+        flows: Keys of the flows that were opened.
+        packets: Number of packets by flow key.
+        unknown_flows: Keys of flows that were not opened here but sent a
+            packet other than a first one.
+        arrival_times: Times of all packets.
     """
 
     flows: set[int] = field(default_factory=set)
     packets: Counter[int] = field(default_factory=Counter)
-    broken: set[int] = field(default_factory=set)
-    arrivals: list[float] = field(default_factory=list)
+    unknown_flows: set[int] = field(default_factory=set)
+    arrival_times: list[float] = field(default_factory=list)
 
     def receive(self, packet: InnerPacket, now: float) -> None:
-        """Take one packet."""
+        """Receive one packet."""
         flow = packet.key
         self.packets[flow] += 1
-        self.arrivals.append(now)
+        self.arrival_times.append(now)
         if packet.may_open:
             self.flows.add(flow)
         elif flow not in self.flows:
-            self.broken.add(flow)
+            self.unknown_flows.add(flow)
 
 
 @dataclass(slots=True)
 class PoolEntry:
-    """A real entry's packet side."""
+    """The packet forwarding of a real entry."""
 
     process: ProcessContext
     view: FleetView
@@ -70,7 +74,7 @@
 
 @dataclass(slots=True)
 class PoolSidecar:
-    """A real sidecar's packet side beside a fake upstream."""
+    """The packet forwarding of a real sidecar, with a fake upstream."""
 
     process: ProcessContext
     view: FleetView
@@ -82,10 +86,10 @@
 
 
 class Pool:
-    """Entries and sidecars by name, in virtual time."""
+    """Entries and sidecars by name, driven by a virtual clock."""
 
-    def __init__(self, seed: int, keys: KeyRing = _KEYS) -> None:
-        """Start empty; all processes share ``keys``."""
+    def __init__(self, seed: int, keys: KeyRing = _DEFAULT_KEYS) -> None:
+        """Create an empty pool whose processes all use ``keys``."""
         self._keys = keys
         self.rng = random.Random(seed)
         self.clock = FakeClock()
@@ -94,8 +98,8 @@
         self.sidecars: dict[str, PoolSidecar] = {}
 
     def add_entry(self, name: str, number: int) -> PoolEntry:
-        """Start an entry at an address made of ``number``."""
-        process = self._process('entry', name)
+        """Start an entry at an address derived from ``number``."""
+        process = self._make_process('entry', name)
         view = FleetView(process.log, self.clock)
         address = (f'10.200.{number >> 8}.{number & 0xFF}', 7100)
         peers = PeerSocket(self._keys, process.metrics)
@@ -122,12 +126,14 @@
         address: Address,
         upstream: FakeUpstream | None = None,
     ) -> PoolSidecar:
-        """Start a sidecar beside an upstream, a fresh one by default.
+        """Start a sidecar, which replaces one of the same name.
 
-        It replaces one of its name, which must be a host's name in the site
-        that is published.
+        Args:
+            name: Name of the sidecar's host in the published site.
+            address: Address of the sidecar.
+            upstream: Upstream of the sidecar; a new one by default.
         """
-        process = self._process('sidecar', name)
+        process = self._make_process('sidecar', name)
         view = FleetView(process.log, self.clock)
         peers = PeerSocket(self._keys, process.metrics)
         peers.use(self.network.bind(address, peers.receive))
@@ -141,39 +147,44 @@
             peers,
             PeerStreams(process, self._keys),
         )
-        beside = upstream or FakeUpstream()
+        fake_upstream = upstream or FakeUpstream()
 
         def receive(datagram: bytes, _sender: Address) -> None:
             packet = parse_inner(datagram)
             if packet is not None:
-                beside.receive(packet, self.clock.now)
+                fake_upstream.receive(packet, self.clock.now)
 
-        inner: Address = (address[0], UPSTREAM_PORT)
-        self.network.bind(inner, receive)
-        transport = _Connected(self.network, inner)
+        upstream_address: Address = (address[0], UPSTREAM_PORT)
+        self.network.bind(upstream_address, receive)
+        transport = _ConnectedTransport(self.network, upstream_address)
         handler = PacketHandler(context, transport)
         sidecar = PoolSidecar(
             process,
             view,
             context,
             handler,
-            beside,
+            fake_upstream,
             address,
         )
         self.sidecars[name] = sidecar
         return sidecar
 
     def publish(self, site: Site, spread: float = 0) -> None:
-        """Put a site in force at each process within ``spread`` seconds."""
+        """Apply a site at each process at a random time.
+
+        Args:
+            site: Site to apply.
+            spread: Maximum delay in seconds; 0 applies it at once.
+        """
         for view in self._views():
             if spread:
                 delay = self.rng.uniform(0, spread)
-                self.network.after(delay, _adopter(view, site))
+                self.network.after(delay, _make_adopter(view, site))
             else:
                 view.adopt(site)
 
     def kill(self, name: str) -> None:
-        """End a process without warning."""
+        """Stop a process without notice."""
         if name in self.sidecars:
             sidecar = self.sidecars[name]
             sidecar.alive = False
@@ -182,21 +193,21 @@
             self.entries[name].alive = False
 
     def spray(self, datagram: bytes) -> PoolEntry:
-        """Hand a caller's packet to any entry; return which one got it."""
+        """Pass a packet of a caller to a random live entry and return it."""
         alive = [entry for entry in self.entries.values() if entry.alive]
         entry = self.rng.choice(alive)
         entry.ingress.receive(datagram, ('10.250.0.1', 1))
         return entry
 
     def run(self, seconds: float) -> None:
-        """Let virtual time pass, timers included."""
+        """Advance the virtual clock, delivering packets and running timers."""
         until = self.clock.now + seconds
         while self.clock.now < until:
-            self.network.run(min(_TICK_SECONDS, until - self.clock.now))
+            self.network.run(min(_TIMER_TICK_SECONDS, until - self.clock.now))
             for process in self._processes():
                 process.timers.run_due()
 
-    def _process(self, role: str, name: str) -> ProcessContext:
+    def _make_process(self, role: str, name: str) -> ProcessContext:
         timers = TimerService(self.clock, random.Random(name))
         return ProcessContext(role, name, timers)
 
@@ -215,15 +226,15 @@
                 yield sidecar.process
 
 
-def _adopter(view: FleetView, site: Site) -> Callable[[], None]:
+def _make_adopter(view: FleetView, site: Site) -> Callable[[], None]:
     def adopt() -> None:
         view.adopt(site)
 
     return adopt
 
 
-class _Connected(asyncio.DatagramTransport):
-    """A transport whose datagrams all go to one address at once."""
+class _ConnectedTransport(asyncio.DatagramTransport):
+    """A transport that delivers all datagrams to one address at once."""
 
     def __init__(self, network: FakeNetwork, receiver: Address) -> None:
         super().__init__()
--- a/siskinbank/lab/traffic.py
+++ b/siskinbank/lab/traffic.py
@@ -1,4 +1,4 @@
-"""Flows that come and go, the same for every way that an experiment tries."""
+"""Random short and long flows, the same for all compared balancers."""
 
 import itertools
 import random
@@ -9,7 +9,12 @@
 from siskinbank.config.models import DocumentModel
 from siskinbank.config.sections import Manifest, make_site
 from siskinbank.config.site import Address, Site
-from siskinbank.lab.bearing import OpenFlow, has_flow, host_address, host_name
+from siskinbank.lab.bearing import (
+    CallerEndpoint,
+    has_flow,
+    host_address,
+    host_name,
+)
 from siskinbank.lab.pool import Pool, PoolSidecar
 from siskinbank.lab.standins.packets import ACK, FIN, SYN, Flow, make_packet
 from siskinbank.wire.packets import parse_inner
@@ -25,24 +30,30 @@
 _SERVICE = ('10.77.0.1', 443)
 CALLER: Address = ('10.250.0.1', 1)
 _LONG_SHARE = 0.2
-_LONG_SECONDS = 100.0
-_SHORT_SECONDS = 8.0
-_FILL_SECONDS = 10.0
+_MEAN_LONG_SECONDS = 100.0
+_MEAN_SHORT_SECONDS = 8.0
+_RAMP_UP_SECONDS = 10.0
 _FIRST_PORT = 1024
-_PORTS = 60_000
+_PORTS_PER_ADDRESS = 60_000
 _RETRY_SECONDS = 1.0
-_CHECK_SECONDS = 0.05
+_OPEN_CHECK_SECONDS = 0.05
 _MAX_TRIES = 6
-#: Room that lasted for this time is known in the pool.
-_ROOM_SECONDS = 1.0
-_NOTE_SECONDS = 0.02
-#: What is added to a flow's number when its caller connects anew.
-_RECONNECTED = 10_000_000
+#: Free capacity that has lasted this long is known to the pool.
+_KNOWN_CAPACITY_SECONDS = 1.0
+_SAMPLE_SECONDS = 0.02
+#: Added to the number of a flow when its caller reconnects.
+_RECONNECT_OFFSET = 10_000_000
 
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """One flow that a caller opens ``at`` seconds and keeps for ``life``."""
+    """One flow of a caller.
+
+    Attributes:
+        at: Time of the first packet in seconds.
+        life: Duration of the flow in seconds.
+        number: Number of the flow, from which its addresses are derived.
+    """
 
     at: float
     life: float
@@ -50,20 +61,20 @@
 
     @property
     def flow(self) -> Flow:
-        """The flow's addresses."""
-        high, port = divmod(self.number, _PORTS)
+        """Addresses and ports of the flow."""
+        high, port = divmod(self.number, _PORTS_PER_ADDRESS)
         source = f'10.9.{high >> 8}.{high & 0xFF}'
         return Flow(source, _FIRST_PORT + port, *_SERVICE)
 
     @property
-    def known(self) -> OpenFlow:
-        """The flow as its upstream knows it."""
+    def endpoint(self) -> CallerEndpoint:
+        """Endpoint of the caller, by which the upstream finds the flow."""
         flow = self.flow
         return socket.inet_aton(flow.source), flow.source_port
 
     @property
     def key(self) -> int:
-        """The flow's 64-bit number."""
+        """64-bit hash of the flow."""
         packet = parse_inner(make_packet(self.flow, SYN))
         assert packet is not None
         return packet.key
@@ -74,23 +85,28 @@
     flows: int,
     seconds: float,
 ) -> list[Arrival]:
-    """Draw long and short flows; about ``flows`` of them are open at a time.
+    """Return random long and short flows, sorted by arrival.
 
-    The first come within a few seconds, the others at random so that the
-    number stays.
+    The first flows arrive during a ramp-up of 10 seconds. Each flow that ends
+    is followed by a new one, so that the number of open flows stays constant.
+
+    Args:
+        rng: Source of random numbers.
+        flows: Approximate number of concurrently open flows.
+        seconds: Time after which no more flows are opened.
     """
     number = itertools.count()
     arrivals = []
-    for share, life in (
-        (_LONG_SHARE, _LONG_SECONDS),
-        (1 - _LONG_SHARE, _SHORT_SECONDS),
+    for share, mean_duration in (
+        (_LONG_SHARE, _MEAN_LONG_SECONDS),
+        (1 - _LONG_SHARE, _MEAN_SHORT_SECONDS),
     ):
         for _ in range(round(flows * share)):
-            at = rng.uniform(0, _FILL_SECONDS)
+            at = rng.uniform(0, _RAMP_UP_SECONDS)
             while at < seconds:
-                lasts = rng.expovariate(1 / life)
-                arrivals.append(Arrival(at, lasts, next(number)))
-                at += lasts
+                duration = rng.expovariate(1 / mean_duration)
+                arrivals.append(Arrival(at, duration, next(number)))
+                at += duration
     return sorted(arrivals, key=_arrival_time)
 
 
@@ -99,43 +115,53 @@
 
 
 class Traffic:
-    """Sends the packets of drawn flows into a pool."""
+    """Sends the packets of random flows into a pool."""
 
     def __init__(
         self,
         pool: Pool,
         arrivals: list[Arrival],
-        beat_seconds: float | None = None,
+        send_interval_seconds: float | None = None,
     ) -> None:
-        """Send a packet of each open flow each ``beat_seconds``, if given."""
+        """Initialize the schedule of packets.
+
+        Args:
+            pool: Pool that gets the packets.
+            arrivals: Flows to open.
+            send_interval_seconds: Time between packets of an open flow. By
+                default none follow its opening until its end.
+        """
         self._pool = pool
-        self._beat = beat_seconds
+        self._send_interval_seconds = send_interval_seconds
         self.opened = 0
         self.refused = 0
         self.falsely_refused = 0
-        self._had_room: dict[int, bool] = {}
-        self._room_since: dict[str, float] = {}
-        self._note_room()
-        self.lost_flows: set[OpenFlow] = set()
+        self._had_capacity: dict[int, bool] = {}
+        self._free_since: dict[str, float] = {}
+        self._sample_capacity()
+        self.lost_flows: set[CallerEndpoint] = set()
         for arrival in arrivals:
-            self._push(arrival.at, arrival, SYN, 0)
+            self._schedule(arrival.at, arrival, SYN, 0)
 
     def run(self, until: float) -> None:
-        """Let virtual time pass until ``until``."""
+        """Advance the virtual clock to ``until``."""
         self._pool.run(max(until - self._pool.clock.now, 0))
 
     def has_owner(self, arrival: Arrival) -> bool:
-        """Whether a flow reached a living upstream."""
-        known = arrival.known
+        """Return whether the upstream of a live sidecar has the flow open."""
+        endpoint = arrival.endpoint
         return any(
-            sidecar.alive and has_flow(sidecar.upstream, known)
+            sidecar.alive and has_flow(sidecar.upstream, endpoint)
             for sidecar in self._pool.sidecars.values()
         )
 
-    def has_room(self) -> bool:
-        """Whether a warm host that takes work had room for a while."""
-        latest = self._pool.clock.now - _ROOM_SECONDS
-        return any(since <= latest for since in self._room_since.values())
+    def has_free_capacity(self) -> bool:
+        """Return whether a warm host has had free capacity long enough.
+
+        Hosts that accept no new work do not count.
+        """
+        latest = self._pool.clock.now - _KNOWN_CAPACITY_SECONDS
+        return any(since <= latest for since in self._free_since.values())
 
     def _send(self, arrival: Arrival, flags: int, tries: int) -> None:
         now = self._pool.clock.now
@@ -147,56 +173,61 @@
             self._spray(arrival, FIN | ACK)
 
     def _open(self, arrival: Arrival, tries: int) -> None:
-        self._had_room[arrival.number] = self.has_room()
+        self._had_capacity[arrival.number] = self.has_free_capacity()
         self._spray(arrival, SYN)
         now = self._pool.clock.now
-        self._push(now + _CHECK_SECONDS, arrival, ACK, tries + 1)
+        self._schedule(now + _OPEN_CHECK_SECONDS, arrival, ACK, tries + 1)
 
     def _continue(self, arrival: Arrival, tries: int, now: float) -> None:
-        """Send the next packet; open the flow again where that failed."""
+        """Send the next packet, or retry the opening if it failed."""
         if self.has_owner(arrival):
             self.opened += bool(tries)
-            self._had_room.pop(arrival.number, None)
+            self._had_capacity.pop(arrival.number, None)
             self._spray(arrival, ACK)
-            self._go_on(arrival, now)
+            self._schedule_next(arrival, now)
             return
         if not tries:
-            self.lost_flows.add(arrival.known)
+            self.lost_flows.add(arrival.endpoint)
             self._reconnect(arrival, now)
             return
         self.refused += 1
-        had_room = self._had_room.pop(arrival.number, False)
-        self.falsely_refused += had_room and self.has_room()
+        had_capacity = self._had_capacity.pop(arrival.number, False)
+        self.falsely_refused += had_capacity and self.has_free_capacity()
         if tries < _MAX_TRIES:
-            delay = _RETRY_SECONDS - _CHECK_SECONDS
-            self._push(now + delay, arrival, SYN, tries)
+            delay = _RETRY_SECONDS - _OPEN_CHECK_SECONDS
+            self._schedule(now + delay, arrival, SYN, tries)
 
-    def _note_room(self) -> None:
+    def _sample_capacity(self) -> None:
         for name, sidecar in self._pool.sidecars.items():
-            if _has_room(sidecar):
-                self._room_since.setdefault(name, self._pool.clock.now)
+            if _has_free_capacity(sidecar):
+                self._free_since.setdefault(name, self._pool.clock.now)
             else:
-                self._room_since.pop(name, None)
-        self._pool.network.after(_NOTE_SECONDS, self._note_room)
+                self._free_since.pop(name, None)
+        self._pool.network.after(_SAMPLE_SECONDS, self._sample_capacity)
 
     def _reconnect(self, arrival: Arrival, now: float) -> None:
-        """Open a new flow for the rest of a lost one."""
-        left = arrival.at + arrival.life - now
-        if left > 0:
-            again = Arrival(now, left, arrival.number + _RECONNECTED)
-            self._push(now, again, SYN, 0)
-
-    def _go_on(self, arrival: Arrival, now: float) -> None:
+        """Open a new flow for the remaining time of a lost one."""
+        remaining_seconds = arrival.at + arrival.life - now
+        if remaining_seconds > 0:
+            new_arrival = Arrival(
+                now, remaining_seconds, arrival.number + _RECONNECT_OFFSET
+            )
+            self._schedule(now, new_arrival, SYN, 0)
+
+    def _schedule_next(self, arrival: Arrival, now: float) -> None:
         end = arrival.at + arrival.life
-        if self._beat is None or now + self._beat >= end:
-            self._push(max(end, now), arrival, FIN, 0)
+        if (
+            self._send_interval_seconds is None
+            or now + self._send_interval_seconds >= end
+        ):
+            self._schedule(max(end, now), arrival, FIN, 0)
         else:
-            self._push(now + self._beat, arrival, ACK, 0)
+            self._schedule(now + self._send_interval_seconds, arrival, ACK, 0)
 
     def _spray(self, arrival: Arrival, flags: int) -> None:
         self._pool.spray(make_packet(arrival.flow, flags, b''))
 
-    def _push(
+    def _schedule(
         self,
         due: float,
         arrival: Arrival,
@@ -210,7 +241,7 @@
         )
 
 
-def _has_room(sidecar: PoolSidecar) -> bool:
+def _has_free_capacity(sidecar: PoolSidecar) -> bool:
     limits = sidecar.context.limits
     if limits is None or not sidecar.context.takes_work:
         return False
@@ -219,11 +250,20 @@
 
 @dataclass(frozen=True, slots=True)
 class SiteShape:
-    """A site with one packet service, for experiments."""
+    """Parameters of a site with one packet service, for experiments.
+
+    Attributes:
+        hosts: Number of hosts.
+        connections: Connection limit of a warm host.
+        cold_connections: Connection limit of a host right after its start.
+        warm_up_seconds: Duration of the warm-up.
+        data_centres: Number of data centres, among which the hosts are
+            distributed in turn.
+    """
 
     hosts: int
     connections: int = 2000
-    cold: int = 2000
+    cold_connections: int = 2000
     warm_up_seconds: float = 0
     data_centres: int = 1
 
@@ -234,15 +274,15 @@
         draining: Collection[int] = (),
         weights: dict[int, float] | None = None,
     ) -> Site:
-        """Return the site at a generation.
+        """Return the site of a generation.
 
         Args:
-            generation: its number.
-            out: numbers of data centres that are out of service.
-            draining: numbers of hosts that drain.
-            weights: weights of hosts that differ from 1.
+            generation: Number of the generation.
+            out: Numbers of the data centres that are out of service.
+            draining: Numbers of the hosts that are draining.
+            weights: Weights of hosts by number, where they differ from 1.
         """
-        given = weights or {}
+        host_weights = weights or {}
         document = {
             'site': 'lab',
             'data_centres': {
@@ -258,16 +298,16 @@
                     },
                     'connections': self.connections,
                     'cold': {
-                        'connections': self.cold,
+                        'connections': self.cold_connections,
                         'slots': 1,
                         'warm_up_seconds': self.warm_up_seconds,
                     },
                     'hosts': {
                         host_name(number): {
-                            'data_centre': self.centre_of(number),
+                            'data_centre': self.data_centre_of(number),
                             'address': host_address(number)[0],
                             'port': host_address(number)[1],
-                            'weight': given.get(number, 1),
+                            'weight': host_weights.get(number, 1),
                             'state': 'draining'
                             if number in draining
                             else 'active',
@@ -280,6 +320,6 @@
         model = DocumentModel.model_validate(document)
         return make_site(model, Manifest(generation, {}))
 
-    def centre_of(self, number: int) -> str:
-        """Return the data centre of a host."""
+    def data_centre_of(self, number: int) -> str:
+        """Return the name of the data centre of a host."""
         return f'centre-{number % self.data_centres}'
--- a/tests/lab/test_flows.py
+++ b/tests/lab/test_flows.py
@@ -1,4 +1,4 @@
-"""Tests of the flow experiment and of its traffic's judgement."""
+"""Tests of the flow experiment and its detection of broken flows."""
 
 import random
 import unittest
@@ -10,38 +10,38 @@
 
 
 class TestFlowRun(unittest.TestCase):
-    """A small run; the seeds of the failures found are in tests/sidecar."""
+    """A small run; tests/sidecar has the seeds of failures found before."""
 
-    def test_planned_changes_break_nothing(self) -> None:
-        """Every kind of change is made, under loss of control datagrams."""
+    def test_planned_changes_break_no_flow(self) -> None:
+        """All kinds of changes are made while control datagrams are lost."""
         run = FlowRun(24, FlowPlan(entries=3, hosts=5, flows=40, changes=8))
         run.start()
-        run.change_all()
-        self.assertEqual(run.traffic.broken(), [])
+        run.make_changes()
+        self.assertEqual(run.traffic.broken_flows(), [])
         self.assertFalse(run.traffic.two_owners)
         self.assertGreater(run.traffic.moved_hops.total(), 0)
         self.assertTrue(run.traffic.naive_broken['modulo'])
 
 
-class TestAtRest(unittest.TestCase):
+class TestWithoutChanges(unittest.TestCase):
     """A run without changes and without loss."""
 
-    def test_nothing_is_lost_twice(self) -> None:
-        """What was judged at the end of a part is not judged again."""
+    def test_losses_are_counted_once(self) -> None:
+        """Packets checked at the end of one phase are not checked again."""
         plan = FlowPlan(entries=2, hosts=3, flows=20, changes=0, loss=0)
         run = FlowRun(209, plan)
         run.start()
-        run.change_all()
-        run.change_all()
-        self.assertEqual(run.traffic.lost, 0)
+        run.make_changes()
+        run.make_changes()
+        self.assertEqual(run.traffic.lost_packets, 0)
         self.assertGreater(run.traffic.packets, 0)
 
 
-class TestJudgement(unittest.TestCase):
-    """The experiment sees flows that break."""
+class TestBrokenFlows(unittest.TestCase):
+    """The experiment detects broken flows."""
 
-    def test_sees_lost_and_misdelivered_flows(self) -> None:
-        """Flows whose owner forgets them, or whose host is cut off, break."""
+    def test_detects_lost_flows(self) -> None:
+        """Flows are broken when the address of their host is unreachable."""
         pool = Pool(1)
         plan = PoolPlan(dict.fromkeys(range(3), 'active'))
         for number in range(3):
@@ -54,11 +54,11 @@
         traffic.open(20)
         pool.run(1)
         traffic.step(site)
-        self.assertEqual(traffic.broken(), [])
+        self.assertEqual(traffic.broken_flows(), [])
         pool.network.unbind(host_address(0))
         for _ in range(5):
             pool.run(1)
             traffic.step(site)
         lost = [flow for flow in traffic.flows if flow.owner == f'{SERVICE}-0']
         self.assertTrue(lost)
-        self.assertEqual(traffic.broken(), lost)
+        self.assertEqual(traffic.broken_flows(), lost)
--- a/tests/lab/test_interleavings.py
+++ b/tests/lab/test_interleavings.py
@@ -1,7 +1,7 @@
-"""A model that searches interleavings for a reverted generation or lost flow.
+"""Model-based search for interleavings that revert a generation or lose a flow.
 
-The rules drive the real entries and sidecars of the pool in memory; hypothesis
-picks their order and shrinks what fails.
+The rules drive the real entries and sidecars of the in-memory pool. Hypothesis
+chooses their order and shrinks failing examples.
 """
 
 import unittest
@@ -22,25 +22,26 @@
 from siskinbank.wire.packets import parse_inner
 
 ENTRIES = 3
-#: More than a packet has candidates, so that owners must be known of.
+#: More hosts than candidates in a packet, so that an owner may have to be
+#: found by other means.
 HOSTS = 8
 CENTRES = {number: 'a' if number < 5 else 'b' for number in range(HOSTS)}
 LAST_PACKETS = 3
-#: Longer than a generation takes everywhere, and than any repair may take.
+#: Longer than publishing a generation and any repair of state may take.
 SETTLE_SECONDS = 5
 HOST = st.integers(0, HOSTS - 1)
 
 
-def name_of(number: int) -> str:
-    """Return a host's name."""
+def host_name(number: int) -> str:
+    """Return the name of a host."""
     return f'matcher-{number}'
 
 
 class PoolModel(RuleBasedStateMachine):
-    """What callers and operators may do, and what must hold after each."""
+    """Actions of callers and operators, and invariants after each."""
 
     def __init__(self) -> None:
-        """Start without a pool."""
+        """Initialize an empty pool."""
         super().__init__()
         self.pool = Pool(seed=1)
         self.plan = PoolPlan(
@@ -48,9 +49,9 @@
             centres=CENTRES,
         )
         self.flows: dict[int, Flow] = {}
-        self.excused: set[int] = set()
+        self.exempt_flows: set[int] = set()
         self.generations: dict[int, int] = {}
-        self.past: list[Site] = []
+        self.published_sites: list[Site] = []
 
     @initialize()
     def start(self) -> None:
@@ -58,14 +59,14 @@
         for number in range(ENTRIES):
             self.pool.add_entry(f'entry-{number}', number)
         for number in range(HOSTS):
-            self.pool.add_sidecar(name_of(number), host_address(number))
+            self.pool.add_sidecar(host_name(number), host_address(number))
         self.publish(0)
         self.pool.run(SETTLE_SECONDS)
         self.open_flows(20)
 
     @rule(count=st.sampled_from((20, 5)))
     def open_flows(self, count: int) -> None:
-        """Callers open flows."""
+        """Open flows."""
         for _ in range(count):
             flow = Flow('10.9.0.1', 2000 + len(self.flows), *SERVICE_ADDRESS)
             packet = make_packet(flow, SYN)
@@ -76,20 +77,20 @@
         self.pool.run(0.1)
         for key in self.flows:
             if self.owner(key) is None:
-                # Refused, or lost on its way: never established.
-                self.excused.add(key)
+                # The first packet was refused or lost.
+                self.exempt_flows.add(key)
 
     @rule()
     def send_all(self) -> None:
-        """Each flow sends one packet through some entry."""
+        """Send one packet of each flow through a random entry."""
         for key, flow in self.flows.items():
-            if key not in self.excused:
+            if key not in self.exempt_flows:
                 self.pool.spray(make_packet(flow, ACK, b'x'))
         self.pool.run(0.05)
 
     @rule(seconds=st.sampled_from((0.01, 0.3, 2, 20)))
     def wait(self, seconds: float) -> None:
-        """Time passes."""
+        """Advance the virtual clock."""
         self.pool.run(seconds)
 
     @rule(
@@ -97,7 +98,7 @@
         spread=st.sampled_from((0, 0.5, 3)),
     )
     def drain_or_activate(self, numbers: set[int], spread: float) -> None:
-        """Some hosts drain, or take work again."""
+        """Drain some hosts or activate them again."""
         states = self.plan.states
         for number in numbers:
             drains = states[number] == 'active'
@@ -107,57 +108,59 @@
         self.publish(spread)
 
     @rule(spread=st.sampled_from((0, 0.5, 3)))
-    def take_out_or_back(self, spread: float) -> None:
-        """A data centre is taken out, or comes back."""
+    def toggle_data_centre(self, spread: float) -> None:
+        """Take a data centre out of service or put it back."""
         if self.plan.out:
             self.plan.out.clear()
         else:
             self.plan.out.add('b')
-            self.excuse(number for number in CENTRES if CENTRES[number] == 'b')
+            self.exempt(number for number in CENTRES if CENTRES[number] == 'b')
         self.publish(spread)
         self.pool.run(spread)
 
     @rule(choice=st.integers(0, 1 << 16))
-    def offer_old(self, choice: int) -> None:
-        """Someone offers a generation of the past."""
-        self.pool.publish(self.past[choice % len(self.past)])
+    def publish_old(self, choice: int) -> None:
+        """Publish an old generation again."""
+        self.pool.publish(
+            self.published_sites[choice % len(self.published_sites)]
+        )
 
     @rule(number=st.integers(0, ENTRIES - 1))
     def replace_entry(self, number: int) -> None:
-        """An entry dies; a new one knows nothing but the configuration."""
+        """Replace an entry by a new one that has only the configuration."""
         name = f'entry-{number}'
         self.pool.kill(name)
         entry = self.pool.add_entry(name, number)
-        entry.view.adopt(self.newest())
+        entry.view.adopt(self.newest_site())
         self.generations.pop(id(entry.view), None)
 
     @rule(number=HOST)
     def replace_host(self, number: int) -> None:
-        """A host dies with its upstream; its flows are lost with it."""
-        self.excuse([number])
-        self.pool.kill(name_of(number))
-        sidecar = self.pool.add_sidecar(name_of(number), host_address(number))
-        sidecar.view.adopt(self.newest())
+        """Replace a host and its upstream; its flows are lost."""
+        self.exempt([number])
+        self.pool.kill(host_name(number))
+        sidecar = self.pool.add_sidecar(host_name(number), host_address(number))
+        sidecar.view.adopt(self.newest_site())
 
     @invariant()
-    def generations_never_fall(self) -> None:
-        """No process goes back to an older generation."""
+    def generations_never_decrease(self) -> None:
+        """No process returns to an older generation."""
         for view in self.pool._views():  # noqa: SLF001
             before = self.generations.get(id(view), 0)
             assert view.generation >= before
             self.generations[id(view)] = view.generation
 
     @invariant()
-    def no_flow_reaches_a_stranger(self) -> None:
-        """No upstream gets a packet of a flow that it does not know."""
+    def no_flow_reaches_another_host(self) -> None:
+        """No upstream receives a packet of a flow that it does not have."""
         for name, sidecar in self.pool.sidecars.items():
-            wrong = sidecar.upstream.broken - self.excused
-            assert not wrong, f'{name} got packets of foreign flows'
+            wrong = sidecar.upstream.unknown_flows - self.exempt_flows
+            assert not wrong, f'{name} got packets of flows of other hosts'
 
     @invariant()
     def one_owner(self) -> None:
-        """No flow is opened at two upstreams."""
-        for key in self.flows.keys() - self.excused:
+        """Each flow is open at exactly one upstream."""
+        for key in self.flows.keys() - self.exempt_flows:
             owners = [
                 name
                 for name, sidecar in self.pool.sidecars.items()
@@ -166,9 +169,9 @@
             assert len(owners) == 1, f'owners: {owners}'
 
     def teardown(self) -> None:
-        """In the end, each flow that was not given up still gets through."""
+        """Check that packets of all flows that must survive are delivered."""
         self.pool.run(SETTLE_SECONDS)
-        for key in self.flows.keys() - self.excused:
+        for key in self.flows.keys() - self.exempt_flows:
             upstream = self.pool.sidecars[self.owner(key) or ''].upstream
             before = upstream.packets[key]
             for _ in range(LAST_PACKETS):
@@ -178,28 +181,28 @@
             assert upstream.packets[key] == before + LAST_PACKETS, 'lost flow'
 
     def owner(self, key: int) -> str | None:
-        """Return the host whose upstream has a flow."""
+        """Return the name of the host whose upstream has a flow."""
         for name, sidecar in self.pool.sidecars.items():
             if key in sidecar.upstream.flows:
                 return name
         return None
 
-    def excuse(self, numbers: object) -> None:
-        """Give up the flows that some hosts have now."""
-        names = {name_of(number) for number in numbers}  # type: ignore[attr-defined]
+    def exempt(self, numbers: object) -> None:
+        """Exempt the current flows of some hosts from the invariants."""
+        names = {host_name(number) for number in numbers}  # type: ignore[attr-defined]
         for key in self.flows:
             if self.owner(key) in names:
-                self.excused.add(key)
+                self.exempt_flows.add(key)
 
     def publish(self, spread: float) -> None:
-        """Publish the plan as the next generation."""
+        """Publish the current plan as the next generation."""
         site = self.plan.next_site()
-        self.past.append(site)
+        self.published_sites.append(site)
         self.pool.publish(site, spread)
 
-    def newest(self) -> Site:
-        """Return the newest generation."""
-        return self.past[-1]
+    def newest_site(self) -> Site:
+        """Return the newest published site."""
+        return self.published_sites[-1]
 
 
 PoolModel.TestCase.settings = settings(
@@ -211,4 +214,4 @@
 
 
 class TestInterleavings(PoolModel.TestCase, unittest.TestCase):  # type: ignore[misc]
-    """Any order of the rules."""
+    """Runs the rules in random order."""
--- a/tests/lab/test_pool.py
+++ b/tests/lab/test_pool.py
@@ -1,4 +1,4 @@
-"""Tests of the pool in memory, and of flows through a change."""
+"""Tests of the in-memory pool and of flows during a change."""
 
 import unittest
 
@@ -13,7 +13,7 @@
 
 
 def make_test_site(generation: int, hosts: int, draining: int = 0) -> Site:
-    """Return a site with one service; the first hosts drain."""
+    """Return a site with one service whose first hosts are draining."""
     document = {
         'site': 'lab',
         'data_centres': {'a': {}},
@@ -44,7 +44,7 @@
 class TestPool(unittest.TestCase):
     """Flows survive planned changes."""
 
-    def test_drain_and_new_host_break_nothing(self) -> None:
+    def test_drain_and_new_host_break_no_flow(self) -> None:
         """Flows stay with their owner while the pool changes."""
         pool = Pool(seed=1)
         for number in range(3):
@@ -66,7 +66,15 @@
                 pool.spray(make_packet(flow, ACK, b'x'))
             pool.run(1)
         upstreams = [sidecar.upstream for sidecar in pool.sidecars.values()]
-        self.assertEqual(sum(len(up.flows) for up in upstreams), FLOWS)
-        self.assertFalse([up.broken for up in upstreams if up.broken])
-        packets = sum(up.packets.total() for up in upstreams)
+        self.assertEqual(
+            sum(len(upstream.flows) for upstream in upstreams), FLOWS
+        )
+        self.assertFalse(
+            [
+                upstream.unknown_flows
+                for upstream in upstreams
+                if upstream.unknown_flows
+            ]
+        )
+        packets = sum(upstream.packets.total() for upstream in upstreams)
         self.assertEqual(packets, FLOWS * 6)
