--- a/siskinbank/lab/naive_proxy.py
+++ b/siskinbank/lab/naive_proxy.py
@@ -1,4 +1,4 @@
-"""A naive proxy to compare with: on a time-out it asks the next upstream."""
+"""Naive proxy for comparison, which retries at a random upstream."""
 
 import asyncio
 import contextlib
@@ -13,12 +13,16 @@
 
 __all__ = ('NaiveProxy',)
 
-_TRIES = 3
-_UNAVAILABLE = 503
+_MAX_ATTEMPTS = 3
+_SERVICE_UNAVAILABLE = 503
 
 
 class NaiveProxy:
-    """Forwards to a random upstream, and on failure to another one."""
+    """Forwards requests to random upstreams and retries after a failure.
+
+    A retry follows every time-out and connection error, whether or not the
+    request may have run.
+    """
 
     def __init__(
         self,
@@ -26,7 +30,13 @@
         timeout: float,
         rng: random.Random,
     ) -> None:
-        """Forward to ``hosts`` with ``timeout`` seconds for each try."""
+        """Create a stopped proxy.
+
+        Args:
+            hosts: addresses of the upstreams.
+            timeout: time limit of each attempt in seconds.
+            rng: chooses the upstreams.
+        """
         self._hosts = hosts
         self._timeout = timeout
         self._rng = rng
@@ -34,31 +44,31 @@
         self._runner: web.ServerRunner | None = None
 
     async def start(self, address: Address) -> None:
-        """Listen.
+        """Start to listen on an address.
 
         Raises:
             OSError: the address could not be bound.
         """
         self._session = ClientSession(auto_decompress=False)
-        server = web.Server(self._serve, access_log=None)
+        server = web.Server(self._handle, access_log=None)
         self._runner = web.ServerRunner(server, shutdown_timeout=0)
         await self._runner.setup()
         await web.TCPSite(self._runner, *address).start()
 
     async def stop(self) -> None:
-        """Stop at once."""
+        """Stop immediately."""
         if self._runner is not None:
             await self._runner.cleanup()
         if self._session is not None:
             await self._session.close()
 
-    async def _serve(self, request: web.BaseRequest) -> web.StreamResponse:
+    async def _handle(self, request: web.BaseRequest) -> web.StreamResponse:
         body = await request.read()
-        for _ in range(_TRIES):
+        for _ in range(_MAX_ATTEMPTS):
             with contextlib.suppress(ClientError, TimeoutError, OSError):
                 async with asyncio.timeout(self._timeout):
                     return await self._forward(request, body)
-        return web.Response(status=_UNAVAILABLE)
+        return web.Response(status=_SERVICE_UNAVAILABLE)
 
     async def _forward(
         self,
@@ -72,9 +82,9 @@
             f'http://{host}:{port}{request.path_qs}',
             headers=forwarded_headers(request.headers),
             data=body,
-        ) as answer:
+        ) as response:
             return web.Response(
-                status=answer.status,
-                body=await answer.read(),
-                headers=dict(forwarded_headers(answer.headers)),
+                status=response.status,
+                body=await response.read(),
+                headers=dict(forwarded_headers(response.headers)),
             )
--- a/siskinbank/lab/overload.py
+++ b/siskinbank/lab/overload.py
@@ -1,4 +1,4 @@
-"""Answers in time while three times the load comes that upstreams can do."""
+"""Goodput at three times the capacity of the upstreams."""
 
 import asyncio
 import random
@@ -11,7 +11,7 @@
 from siskinbank.lab.experiment import ExperimentReport, at_least, at_most
 from siskinbank.lab.faulty_link import LinkFaults
 from siskinbank.lab.naive_requests import NaiveRig
-from siskinbank.lab.request_log import Attempt, attempt
+from siskinbank.lab.request_log import Attempt, send_attempt
 from siskinbank.lab.request_rig import RequestRig
 from siskinbank.lab.request_upstream import RequestUpstream
 from siskinbank.lab.virtual_loop import run_virtual
@@ -24,17 +24,23 @@
 _WORK_SECONDS = 0.6
 _DEADLINE_SECONDS = 2.4
 _NAIVE_TIMEOUT_SECONDS = 1.2
-_TIMES = 3
-_RAMP_SECONDS = 1.0
-_LEAST_GOODPUT = 0.9
-_PERCENT = 100
-#: A refusal is fast when half of the deadline is left for another try.
-_REFUSED_SECONDS = _DEADLINE_SECONDS / 2
+_LOAD_FACTOR = 3
+_RAMP_UP_SECONDS = 1.0
+_MIN_GOODPUT = 0.9
+_QUANTILES = 100
+#: A refusal must leave half of the deadline for another attempt.
+_MAX_REFUSAL_SECONDS = _DEADLINE_SECONDS / 2
 
 
 @dataclass(slots=True)
 class _Tally:
-    """Answers in time and refusals, with their times in seconds."""
+    """Outcomes of the measured requests.
+
+    Attributes:
+        answered: number of answers within the deadline.
+        late: number of answers after the deadline.
+        refusals: seconds until each other outcome.
+    """
 
     answered: int = 0
     late: int = 0
@@ -42,24 +48,24 @@
 
 
 def measure_overload(seed: int, seconds: float) -> ExperimentReport:
-    """Measure goodput against what the upstreams can do."""
-    ours = run_virtual(_measure(seed, seconds, naive=False))
-    naive = run_virtual(_measure(seed, seconds, naive=True))
+    """Measure goodput relative to the capacity of the upstreams."""
+    results = run_virtual(_measure(seed, seconds, naive=False))
+    naive_results = run_virtual(_measure(seed, seconds, naive=True))
     return ExperimentReport(
         'overload',
         seed,
-        ours,
-        naive,
+        results,
+        naive_results,
         [
             at_least(
-                'goodput at 3 times load', _LEAST_GOODPUT, ours['goodput']
+                'goodput at 3 times load', _MIN_GOODPUT, results['goodput']
             ),
             at_most(
                 'seconds to a refusal, 99th percentile',
-                _REFUSED_SECONDS,
-                ours['refusal_seconds_p99'],
+                _MAX_REFUSAL_SECONDS,
+                results['refusal_seconds_p99'],
             ),
-            at_least('refusals', 1, ours['refused']),
+            at_least('refusals', 1, results['refused']),
         ],
     )
 
@@ -71,19 +77,19 @@
         await proxies.start(_ENTRIES, _HOSTS, LinkFaults())
         try:
             upstreams = proxies.upstreams
-            return await _load(upstreams, proxies.urls(), rng, seconds)
+            return await _generate_load(upstreams, proxies.urls(), rng, seconds)
         finally:
             await proxies.stop()
     rig = RequestRig(rng, _SLOTS)
     await rig.start(_ENTRIES, _HOSTS)
     try:
         upstreams = [host.upstream for host in rig.hosts.values()]
-        return await _load(upstreams, list(rig.urls()), rng, seconds)
+        return await _generate_load(upstreams, list(rig.urls()), rng, seconds)
     finally:
         await rig.stop()
 
 
-async def _load(
+async def _generate_load(
     upstreams: list[RequestUpstream],
     urls: list[str],
     rng: random.Random,
@@ -91,62 +97,64 @@
 ) -> dict[str, Any]:
     for upstream in upstreams:
         upstream.work_seconds = _WORK_SECONDS
-    able = len(upstreams) * _SLOTS / _WORK_SECONDS
+    capacity = len(upstreams) * _SLOTS / _WORK_SECONDS
     tally = _Tally()
     loop_time = asyncio.get_running_loop().time
     async with aiohttp.ClientSession() as session:
         async with asyncio.TaskGroup() as group:
-            began = loop_time()
+            started = loop_time()
             number = 0
-            due = began
-            while loop_time() - began < seconds + _RAMP_SECONDS:
+            next_send = started
+            while loop_time() - started < seconds + _RAMP_UP_SECONDS:
                 number += 1
                 url = rng.choice(urls)
-                sent = Attempt(
+                request = Attempt(
                     f'load-{number}',
                     url,
                     b'load',
                     idempotent=True,
                     deadline=_DEADLINE_SECONDS,
                 )
-                counts = loop_time() - began >= _RAMP_SECONDS
-                group.create_task(_send(session, sent, tally, counts=counts))
-                due += rng.expovariate(_TIMES * able)
-                await asyncio.sleep(max(due - loop_time(), 0))
-            elapsed = loop_time() - began - _RAMP_SECONDS
+                is_measured = loop_time() - started >= _RAMP_UP_SECONDS
+                group.create_task(
+                    _send(session, request, tally, is_measured=is_measured)
+                )
+                next_send += rng.expovariate(_LOAD_FACTOR * capacity)
+                await asyncio.sleep(max(next_send - loop_time(), 0))
+            elapsed = loop_time() - started - _RAMP_UP_SECONDS
     return {
-        'goodput': tally.answered / (able * elapsed),
-        'offered': number / ((elapsed + _RAMP_SECONDS) * able),
+        'goodput': tally.answered / (capacity * elapsed),
+        'offered': number / ((elapsed + _RAMP_UP_SECONDS) * capacity),
         'answered': tally.answered,
         'late': tally.late,
         'refused': len(tally.refusals),
-        'refusal_seconds_p99': _percentile(tally.refusals),
+        'refusal_seconds_p99': _percentile_99(tally.refusals),
         'runs': sum(stand_in.runs.total() for stand_in in upstreams),
     }
 
 
 async def _send(
     session: aiohttp.ClientSession,
-    sent: Attempt,
+    request: Attempt,
     tally: _Tally,
     *,
-    counts: bool,
+    is_measured: bool,
 ) -> None:
     loop_time = asyncio.get_running_loop().time
-    began = loop_time()
-    outcome = await attempt(session, sent)
-    elapsed = loop_time() - began
-    if not counts:
+    started = loop_time()
+    outcome = await send_attempt(session, request)
+    elapsed = loop_time() - started
+    if not is_measured:
         return
     if outcome != 'answered':
         tally.refusals.append(elapsed)
-    elif elapsed <= sent.deadline:
+    elif elapsed <= request.deadline:
         tally.answered += 1
     else:
         tally.late += 1
 
 
-def _percentile(seconds: list[float]) -> float:
+def _percentile_99(seconds: list[float]) -> float:
     if len(seconds) < 2:
         return sum(seconds)
-    return statistics.quantiles(seconds, n=_PERCENT)[-1]
+    return statistics.quantiles(seconds, n=_QUANTILES)[-1]
--- a/siskinbank/lab/policies.py
+++ b/siskinbank/lab/policies.py
@@ -1,4 +1,4 @@
-"""Naive ways to choose a host, to measure siskinbank against."""
+"""Naive load balancing policies for comparison with siskinbank."""
 
 import heapq
 import random
@@ -8,12 +8,12 @@
 
 from siskinbank.lab.traffic import Arrival
 
-__all__ = ('POLICIES', 'NaivePool', 'Pick')
+__all__ = ('POLICIES', 'NaivePool', 'Policy')
 
-_REPORT_SECONDS = 1.0
+_REPORT_INTERVAL_SECONDS = 1.0
 
-#: Chooses a host by a flow's number and the loads as last reported.
-Pick = Callable[[int, Sequence[int], random.Random], int]
+#: Chooses a host by the number of a flow and the last reported loads.
+Policy = Callable[[int, Sequence[int], random.Random], int]
 
 
 def _hash_modulo(key: int, loads: Sequence[int], _rng: random.Random) -> int:
@@ -25,9 +25,9 @@
     loads: Sequence[int],
     rng: random.Random,
 ) -> int:
-    least = min(loads)
+    lowest = min(loads)
     return rng.choice(
-        [number for number, load in enumerate(loads) if load == least],
+        [number for number, load in enumerate(loads) if load == lowest],
     )
 
 
@@ -36,8 +36,8 @@
     return first if loads[first] <= loads[second] else second
 
 
-#: The naive ways by name.
-POLICIES: dict[str, Pick] = {
+#: Naive policies by name.
+POLICIES: dict[str, Policy] = {
     'hash modulo live hosts': _hash_modulo,
     'least loaded on stale reports': _least_loaded,
     'two choices on stale reports': _two_choices,
@@ -46,12 +46,20 @@
 
 @dataclass(slots=True)
 class NaivePool:
-    """Hosts without sidecars: what an entry chooses, the upstream gets."""
+    """Pool without sidecars, in which the entry's choice of a host is final.
 
-    pick: Pick
+    Attributes:
+        policy: chooses the host of each flow.
+        hosts: number of hosts.
+        lag_seconds: age from which a load report is visible to the policy.
+        reports_zero: whether all hosts report a load of 0.
+        rng: passed to the policy.
+    """
+
+    policy: Policy
     hosts: int
     lag_seconds: float
-    says_zero: bool
+    reports_zero: bool
     rng: random.Random
 
     def run(
@@ -59,32 +67,39 @@
         arrivals: Sequence[Arrival],
         samples: Sequence[float],
     ) -> list[list[int]]:
-        """Return the hosts' open flows at each sample time."""
+        """Return the open flows of each host at the sample times.
+
+        Args:
+            arrivals: flows in the order of their arrival.
+            samples: sample times in seconds, ascending.
+        """
         loads = [0 for _ in range(self.hosts)]
         ends: list[tuple[float, int]] = []
         reports: deque[tuple[float, list[int]]] = deque([(0, loads.copy())])
-        taken: list[list[int]] = []
-        waiting = list(samples)
+        sampled_loads: list[list[int]] = []
+        pending_samples = list(samples)
         for arrival in arrivals:
-            while waiting and waiting[0] <= arrival.at:
-                _end_flows(ends, loads, waiting.pop(0))
-                taken.append(loads.copy())
+            while pending_samples and pending_samples[0] <= arrival.at:
+                _end_flows(ends, loads, pending_samples.pop(0))
+                sampled_loads.append(loads.copy())
             _end_flows(ends, loads, arrival.at)
-            seen = self._reported(reports, loads, arrival.at)
-            host = self.pick(arrival.key, seen, self.rng)
+            visible_loads = self._visible_report(reports, loads, arrival.at)
+            host = self.policy(arrival.key, visible_loads, self.rng)
             loads[host] += 1
             heapq.heappush(ends, (arrival.at + arrival.life, host))
-        return taken
+        return sampled_loads
 
-    def _reported(
+    def _visible_report(
         self,
         reports: deque[tuple[float, list[int]]],
         loads: list[int],
         now: float,
     ) -> list[int]:
-        if now - reports[-1][0] >= _REPORT_SECONDS:
-            said = [0 for _ in loads] if self.says_zero else loads.copy()
-            reports.append((now, said))
+        if now - reports[-1][0] >= _REPORT_INTERVAL_SECONDS:
+            reported_loads = (
+                [0 for _ in loads] if self.reports_zero else loads.copy()
+            )
+            reports.append((now, reported_loads))
         while len(reports) > 1 and reports[1][0] <= now - self.lag_seconds:
             reports.popleft()
         return reports[0][1]
--- a/siskinbank/lab/request_log.py
+++ b/siskinbank/lab/request_log.py
@@ -1,4 +1,4 @@
-"""What callers saw of each key, and what that says about the system."""
+"""Outcomes of requests as callers observe them, and their summary."""
 
 import random
 from collections import Counter
@@ -16,20 +16,29 @@
     TICKET_HEADER,
 )
 
-__all__ = ('Attempt', 'RequestLog', 'attempt', 'body_of')
+__all__ = ('Attempt', 'RequestLog', 'make_body', 'send_attempt')
 
 CROSSED = 'crossed'
-LOST = 'lost'
-REFUSED = 'connection-refused'
+CONNECTION_LOST = 'lost'
+CONNECTION_REFUSED = 'connection-refused'
 UNSETTLED = 'unsettled'
-_SERVER_ERROR = 500
-_UNAVAILABLE = 503
+_INTERNAL_SERVER_ERROR = 500
+_SERVICE_UNAVAILABLE = 503
 _MAX_BODY_BYTES = 200_000
 
 
 @dataclass(frozen=True, slots=True)
 class Attempt:
-    """One request as it was sent; times are in seconds."""
+    """One attempt to send a request.
+
+    Attributes:
+        key: idempotency key.
+        url: base URL of the entry or proxy.
+        body: request body, which the upstream echoes.
+        idempotent: whether the request may run more than once.
+        ticket: ticket of the key, or empty.
+        deadline: time limit for the answer, in seconds.
+    """
 
     key: str
     url: str
@@ -41,28 +50,37 @@
 
 @dataclass(slots=True)
 class RequestLog:
-    """The outcomes of each key's attempts."""
+    """Records the outcomes of all attempts.
+
+    Attributes:
+        outcomes: outcomes by key, one for each attempt.
+        non_idempotent_keys: keys whose requests may run only once.
+    """
 
     outcomes: dict[str, list[str]] = field(default_factory=dict)
-    once: set[str] = field(default_factory=set)
+    non_idempotent_keys: set[str] = field(default_factory=set)
 
-    def note(self, key: str, outcome: str, *, idempotent: bool) -> None:
-        """Note the outcome of one attempt."""
+    def record(self, key: str, outcome: str, *, idempotent: bool) -> None:
+        """Record the outcome of one attempt."""
         self.outcomes.setdefault(key, []).append(outcome)
         if not idempotent:
-            self.once.add(key)
+            self.non_idempotent_keys.add(key)
 
     def counts(self) -> Counter[str]:
-        """Return how often each outcome was seen."""
+        """Return the number of attempts by outcome."""
         return Counter(
             outcome for seen in self.outcomes.values() for outcome in seen
         )
 
-    def figures(
+    def summarise(
         self,
         upstreams: Iterable[RequestUpstream],
     ) -> dict[str, int]:
-        """Return runs for each key, false refusals and bad answers."""
+        """Return the counts for the report, such as runs for each key.
+
+        Args:
+            upstreams: all upstreams, whose runs are added up by key.
+        """
         runs: Counter[str] = Counter()
         for upstream in upstreams:
             runs.update(upstream.runs)
@@ -73,57 +91,68 @@
             'not_run': counts['not-run'],
             'unknown': counts['unknown'],
             'unsettled': counts[UNSETTLED],
-            'connections_lost': counts[LOST],
-            'runs_for_a_key': max((runs[key] for key in self.once), default=0),
-            'keys_run_twice': sum(runs[key] > 1 for key in self.once),
+            'connections_lost': counts[CONNECTION_LOST],
+            'runs_for_a_key': max(
+                (runs[key] for key in self.non_idempotent_keys),
+                default=0,
+            ),
+            'keys_run_twice': sum(
+                runs[key] > 1 for key in self.non_idempotent_keys
+            ),
             'false_not_run': sum(
-                runs[key] > 0 and set(seen) <= {'not-run', REFUSED}
+                runs[key] > 0 and set(seen) <= {'not-run', CONNECTION_REFUSED}
                 for key, seen in self.outcomes.items()
             ),
             'bad_answers': counts[CROSSED],
         }
 
 
-def body_of(key: str, rng: random.Random) -> bytes:
-    """Return a body that belongs to a key; some are large."""
+def make_body(key: str, rng: random.Random) -> bytes:
+    """Return a body that is unique to a key; one in 10 may be large."""
     size = rng.randrange(_MAX_BODY_BYTES) if rng.randrange(10) == 0 else 64
     return (f'{key} ' * (size // len(key) + 1)).encode()
 
 
-async def attempt(session: aiohttp.ClientSession, sent: Attempt) -> str:
-    """Send one attempt and return its outcome as the caller sees it."""
+async def send_attempt(session: aiohttp.ClientSession, request: Attempt) -> str:
+    """Send one attempt and return its outcome as seen by the caller."""
     headers = {
-        KEY_HEADER: sent.key,
-        DEADLINE_HEADER: str(sent.deadline),
-        IDEMPOTENT_HEADER: str(sent.idempotent).lower(),
+        KEY_HEADER: request.key,
+        DEADLINE_HEADER: str(request.deadline),
+        IDEMPOTENT_HEADER: str(request.idempotent).lower(),
     }
-    if sent.ticket:
-        headers[TICKET_HEADER] = sent.ticket
+    if request.ticket:
+        headers[TICKET_HEADER] = request.ticket
     try:
         async with session.post(
-            f'{sent.url}/match',
-            data=sent.body,
+            f'{request.url}/match',
+            data=request.body,
             headers=headers,
-        ) as answer:
-            return _judge(sent, answer, await answer.read())
+        ) as response:
+            return _classify(request, response, await response.read())
     except aiohttp.ClientConnectorError:
-        return REFUSED
+        return CONNECTION_REFUSED
     except (aiohttp.ClientError, OSError):
-        return LOST
+        return CONNECTION_LOST
 
 
-def _judge(
-    sent: Attempt,
-    answer: aiohttp.ClientResponse,
+def _classify(
+    request: Attempt,
+    response: aiohttp.ClientResponse,
     body: bytes,
 ) -> str:
-    told = answer.headers.get(OUTCOME_HEADER)
-    if told is None:
-        # Without our header the status alone says what happened.
-        told = 'not-run' if answer.status >= _SERVER_ERROR else 'answered'
-    if told == 'unknown' and answer.status == _UNAVAILABLE:
+    outcome = response.headers.get(OUTCOME_HEADER)
+    if outcome is None:
+        # Without the outcome header only the status is available.
+        outcome = (
+            'not-run'
+            if response.status >= _INTERNAL_SERVER_ERROR
+            else 'answered'
+        )
+    if outcome == 'unknown' and response.status == _SERVICE_UNAVAILABLE:
         return UNSETTLED
-    if told == 'answered':
-        same = body == sent.body and answer.headers['X-Key'] == sent.key
-        return told if same else CROSSED
-    return told
+    if outcome == 'answered':
+        is_echo = (
+            body == request.body and response.headers['X-Key'] == request.key
+        )
+        return outcome if is_echo else CROSSED
+    return outcome
--- a/siskinbank/lab/request_rig.py
+++ b/siskinbank/lab/request_rig.py
@@ -1,7 +1,7 @@
-"""The real request path in one process: entries, links, sidecars, upstreams.
+"""The complete request path in one process.
 
-All parts talk over loopback, in real time; the clock of the processes can be
-moved forward.
+Entries, links, sidecars and upstreams communicate over loopback in real time.
+The clock of the processes can be moved forward.
 """
 
 import asyncio
@@ -16,18 +16,18 @@
 from siskinbank.config.models import DocumentModel
 from siskinbank.config.sections import Manifest, make_site
 from siskinbank.config.site import Address, Site
+from siskinbank.directory.view import FleetView
 from siskinbank.entry.context import EntryContext
 from siskinbank.entry.links import RequestLinks
 from siskinbank.ingress.http import start_http
 from siskinbank.ingress.registry import IngressHandle
 from siskinbank.kernel.process import ProcessContext
 from siskinbank.kernel.timers import TimerService
-from siskinbank.lab.plain_streams import PlainStreams
 from siskinbank.lab.faulty_link import FaultyLink, LinkFaults
+from siskinbank.lab.plain_streams import PlainStreams
 from siskinbank.lab.ports import free_ports
 from siskinbank.lab.request_upstream import RequestUpstream
 from siskinbank.peers.datagrams import PeerSocket
-from siskinbank.directory.view import FleetView
 from siskinbank.settings import EntrySettings, SidecarSettings
 from siskinbank.sidecar.context import SidecarContext
 from siskinbank.sidecar.requests import RequestServer
@@ -37,18 +37,19 @@
 __all__ = ('RequestRig', 'RigEntry', 'RigHost')
 
 SERVICE = 'matcher'
-_KEYS = KeyRing([Key(1, bytes(KEY_BYTES))])
-_PORTS_A_HOST = 3
+_KEY_RING = KeyRing([Key(1, bytes(KEY_BYTES))])
+_PORTS_PER_HOST = 3
 
 
-#: More rigs than this never run at a time.
+#: Rig numbers wrap around here, since a rig's addresses have 16 bits for its
+#: number. Fewer rigs than this run at the same time.
 _MAX_RIGS = 60_000
-_numbers = itertools.count()
+_rig_numbers = itertools.count()
 
 
 @dataclass(slots=True)
 class RigEntry:
-    """A real entry's request side."""
+    """The request path of an entry."""
 
     process: ProcessContext
     view: FleetView
@@ -59,7 +60,19 @@
 
 @dataclass(slots=True)
 class RigHost:
-    """A host: faulty link, real sidecar, and its upstream."""
+    """A host with its faulty link, sidecar and upstream.
+
+    Attributes:
+        name: name of the host.
+        link: link between the entries and the sidecar.
+        link_address: address of the host in the configuration.
+        sidecar_address: address that the sidecar binds.
+        upstream: stand-in for the upstream.
+        upstream_address: address that the upstream binds.
+        process: process context of the sidecar; None while it is stopped.
+        view: the sidecar's view of the fleet; None while it is stopped.
+        state: state in the next configuration; ``absent`` leaves it out.
+    """
 
     name: str
     link: FaultyLink
@@ -74,7 +87,18 @@
 
 @dataclass(slots=True)
 class RequestRig:
-    """Entries and hosts of one service; made with ``start``."""
+    """Entries and hosts of one service, created by ``start``.
+
+    Attributes:
+        rng: source of randomness for links and upstreams.
+        slots: requests that each upstream runs at the same time.
+        clock_offset: seconds that the clock of the processes is ahead.
+        port: ``http`` port of the entries.
+        number: number of the rig, part of its loopback addresses.
+        generation: generation of the latest configuration.
+        entries: entries in the order of their start.
+        hosts: hosts by name.
+    """
 
     rng: random.Random
     slots: int = 3
@@ -86,7 +110,7 @@
     hosts: dict[str, RigHost] = field(default_factory=dict)
 
     def clock(self) -> float:
-        """Return the clock of all processes in seconds."""
+        """Return the time of all processes in seconds."""
         return asyncio.get_running_loop().time() + self.skew
 
     async def start(
@@ -95,19 +119,24 @@
         hosts: int,
         faults: LinkFaults | None = None,
     ) -> None:
-        """Start all parts.
+        """Start all entries, links, sidecars and upstreams.
+
+        Args:
+            entries: number of entries.
+            hosts: number of hosts.
+            faults: faults of all links; none by default.
 
         Raises:
             OSError: an address could not be bound.
         """
-        self.number = next(_numbers) % _MAX_RIGS
+        self.number = next(_rig_numbers) % _MAX_RIGS
         address = _address(0, self.number)
-        self.port, *ports = free_ports(1 + hosts * _PORTS_A_HOST, address)
+        self.port, *ports = free_ports(1 + hosts * _PORTS_PER_HOST, address)
         for number in range(hosts):
-            first = number * _PORTS_A_HOST
+            first = number * _PORTS_PER_HOST
             await self._add_host(
                 f'{SERVICE}-{number + 1}',
-                ports[first : first + _PORTS_A_HOST],
+                ports[first : first + _PORTS_PER_HOST],
                 faults or LinkFaults(),
             )
         self.generation = 1
@@ -115,10 +144,10 @@
             await self.start_sidecar(name)
         for number in range(entries):
             await self._add_entry(number)
-        self.publish(bump=False)
+        self.publish(new_generation=False)
 
     async def stop(self) -> None:
-        """Stop all parts."""
+        """Stop all entries, links, sidecars and upstreams."""
         for entry in self.entries:
             await entry.process.close()
         for host in self.hosts.values():
@@ -126,15 +155,19 @@
             await self.kill_sidecar(host.name)
             await host.upstream.stop()
 
-    def publish(self, *, bump: bool = True) -> None:
-        """Put the states of the hosts in force everywhere."""
-        self.generation += int(bump)
+    def publish(self, *, new_generation: bool = True) -> None:
+        """Apply the current host states to all processes.
+
+        Args:
+            new_generation: whether to publish them as a new generation.
+        """
+        self.generation += int(new_generation)
         site = self.site()
         for view in self.views():
             view.adopt(site)
 
     def publish_to(self, *parts: RigEntry | RigHost) -> None:
-        """Put the states of the hosts in force at some parts only."""
+        """Apply the current host states as a new generation to some parts."""
         self.generation += 1
         site = self.site()
         for part in parts:
@@ -142,13 +175,13 @@
                 part.view.adopt(site)
 
     def views(self) -> list[FleetView]:
-        """Return what all processes believe."""
+        """Return the fleet views of all running processes."""
         views = [entry.view for entry in self.entries]
         views.extend(host.view for host in self.hosts.values() if host.view)
         return views
 
     def site(self) -> Site:
-        """Return the site as the hosts' states are now."""
+        """Return the site with the current host states."""
         document = {
             'site': 'lab',
             'data_centres': {'a': {}},
@@ -173,27 +206,27 @@
         return make_site(model, Manifest(self.generation, {}))
 
     async def start_sidecar(self, name: str) -> None:
-        """Start a sidecar, with a new incarnation."""
+        """Start a sidecar as a new incarnation."""
         host = self.hosts[name]
-        process, view = self._process('sidecar', name)
+        process, view = self._create_process('sidecar', name)
         settings = SidecarSettings(
             name,
             'a',
             host.sidecar_address,
             host.sidecar_address,
             '',
-            _KEYS,
+            _KEY_RING,
             None,
             None,
             'http://{0}:{1}'.format(*host.upstream_address),
         )
-        peers = PeerSocket(_KEYS, process.metrics)
+        peers = PeerSocket(_KEY_RING, process.metrics)
         context = SidecarContext(
             process,
             settings,
             view,
             peers,
-            PlainStreams(process, _KEYS),
+            PlainStreams(process, _KEY_RING),
         )
         await start_streams(context, RequestServer(context))
         view.adopt(self.site())
@@ -201,7 +234,7 @@
         host.view = view
 
     async def kill_sidecar(self, name: str) -> None:
-        """End a sidecar at once; what it remembers is lost."""
+        """Stop a sidecar without draining; its state is lost."""
         host = self.hosts[name]
         if host.process is not None:
             await host.process.close()
@@ -209,7 +242,7 @@
         host.view = None
 
     async def drain_sidecar(self, name: str) -> None:
-        """Stop a sidecar as planned."""
+        """Drain a sidecar and stop it."""
         process = self.hosts[name].process
         assert process is not None
         process.stopping.set()
@@ -217,13 +250,13 @@
         await self.kill_sidecar(name)
 
     async def drain_entry(self, number: int) -> None:
-        """Stop an entry as planned."""
+        """Drain an entry."""
         entry = self.entries[number]
         entry.process.stopping.set()
         await entry.handle.drain()
 
     def urls(self, count: int | None = None) -> Sequence[str]:
-        """Return the base URLs of the entries."""
+        """Return the base URLs of the first ``count`` entries, or of all."""
         return [entry.url for entry in self.entries[:count]]
 
     async def _add_host(
@@ -250,7 +283,7 @@
 
     async def _add_entry(self, number: int) -> None:
         address = _address(number + 1, self.number)
-        process, view = self._process('entry', f'entry-{number + 1}')
+        process, view = self._create_process('entry', f'entry-{number + 1}')
         bind = (address, self.port)
         settings = EntrySettings(
             process.name,
@@ -258,7 +291,7 @@
             bind,
             bind,
             '',
-            _KEYS,
+            _KEY_RING,
             None,
             address,
         )
@@ -267,15 +300,19 @@
             settings,
             view,
             Router(view),
-            PeerSocket(_KEYS, process.metrics),
-            RequestLinks(process, PlainStreams(process, _KEYS)),
+            PeerSocket(_KEY_RING, process.metrics),
+            RequestLinks(process, PlainStreams(process, _KEY_RING)),
             KeyHomes(view),
         )
         handle = await start_http(context, '0.0.0.0', self.port)
         url = f'http://{address}:{self.port}'
         self.entries.append(RigEntry(process, view, address, handle, url))
 
-    def _process(self, role: str, name: str) -> tuple[ProcessContext, Any]:
+    def _create_process(
+        self,
+        role: str,
+        name: str,
+    ) -> tuple[ProcessContext, Any]:
         timers = TimerService(self.clock)
         process = ProcessContext(role, name, timers)
         process.start_task(timers.run())
@@ -283,7 +320,7 @@
 
 
 def _address(part: int, rig: int) -> str:
-    """Return a loopback address of one rig's own; 0 is for its hosts."""
+    """Return a loopback address of a rig; part 0 is used by its hosts."""
     return f'127.{part + 1}.{rig >> 8}.{rig & 0xFF}'
 
 
@@ -297,10 +334,14 @@
 
 
 async def wait_until(check: Any, seconds: float = 5) -> None:
-    """Wait until ``check`` returns true.
+    """Poll ``check`` until it returns true.
+
+    Args:
+        check: function without arguments.
+        seconds: time limit.
 
     Raises:
-        TimeoutError: it did not in time.
+        TimeoutError: ``check`` did not return true within ``seconds``.
     """
     async with asyncio.timeout(seconds):
         while not check():
--- a/siskinbank/lab/request_stops.py
+++ b/siskinbank/lab/request_stops.py
@@ -1,4 +1,4 @@
-"""Requests cut by planned stops of entry, sidecar and upstream."""
+"""Requests interrupted by planned stops of entry, sidecar and upstream."""
 
 import asyncio
 import random
@@ -9,13 +9,13 @@
 from siskinbank.lab.faulty_link import LinkFaults
 from siskinbank.lab.naive_requests import NaiveRig
 from siskinbank.lab.request_log import (
-    LOST,
-    REFUSED,
+    CONNECTION_LOST,
+    CONNECTION_REFUSED,
     UNSETTLED,
     Attempt,
     RequestLog,
-    attempt,
-    body_of,
+    make_body,
+    send_attempt,
 )
 from siskinbank.lab.request_rig import RequestRig
 from siskinbank.sidecar.homes import SETTLE_SECONDS
@@ -25,52 +25,57 @@
 _ENTRIES = 3
 _HOSTS = 4
 _SLOTS = 6
-_KEYS = 150
-_PACE_SECONDS = 0.02
+_REQUESTS = 150
+_REQUEST_INTERVAL_SECONDS = 0.02
 _WORK_SECONDS = 0.1
-_STEP_SECONDS = 0.5
+_STOP_INTERVAL_SECONDS = 0.5
 
 
 async def measure_stops(seed: int, *, naive: bool) -> dict[str, Any]:
-    """Stop one of each in turn under load; links are sound.
+    """Stop one entry, sidecar and upstream under load, over faultless links.
 
-    A request is cut when its caller gets no answer and no true refusal: the
-    connection breaks, or the outcome is unknown.
+    A request counts as cut if its caller gets neither an answer nor a definite
+    refusal: the connection breaks, or the outcome is unknown.
+
+    Args:
+        seed: seed of the run.
+        naive: whether to measure naive proxies instead of siskinbank. These
+            have no sidecars, so one proxy and one upstream are stopped.
     """
     rng = random.Random(seed)
-    log = await (_stop_naive(rng) if naive else _stop_ours(rng))
+    log = await (_run_naive(rng) if naive else _run_siskinbank(rng))
     counts = log.counts()
     return {
         'stop_answered': counts['answered'],
         'stop_not_run': counts['not-run'],
         'stop_unsettled': counts[UNSETTLED],
-        'cut_by_stops': counts[LOST] + counts['unknown'],
+        'cut_by_stops': counts[CONNECTION_LOST] + counts['unknown'],
     }
 
 
-async def _stop_ours(rng: random.Random) -> RequestLog:
+async def _run_siskinbank(rng: random.Random) -> RequestLog:
     rig = RequestRig(rng, _SLOTS)
     await rig.start(_ENTRIES, _HOSTS)
     rig.skew += SETTLE_SECONDS + 1
     for host in rig.hosts.values():
         host.upstream.work_seconds = _WORK_SECONDS
     try:
-        stops = asyncio.create_task(_stop_in_turn(rig))
-        log = await _load(list(rig.urls()), rng)
+        stops = asyncio.create_task(_stop_one_by_one(rig))
+        log = await _send_requests(list(rig.urls()), rng)
         await stops
         return log
     finally:
         await rig.stop()
 
 
-async def _stop_in_turn(rig: RequestRig) -> None:
-    await asyncio.sleep(_STEP_SECONDS)
+async def _stop_one_by_one(rig: RequestRig) -> None:
+    await asyncio.sleep(_STOP_INTERVAL_SECONDS)
     entry = asyncio.create_task(rig.drain_entry(0))
-    await asyncio.sleep(_STEP_SECONDS)
+    await asyncio.sleep(_STOP_INTERVAL_SECONDS)
     first, second = list(rig.hosts)[:2]
     await rig.drain_sidecar(first)
     await rig.start_sidecar(first)
-    await asyncio.sleep(_STEP_SECONDS)
+    await asyncio.sleep(_STOP_INTERVAL_SECONDS)
     rig.hosts[second].state = 'draining'
     rig.publish()
     await asyncio.sleep(2 * _WORK_SECONDS)
@@ -78,30 +83,30 @@
     await entry
 
 
-async def _stop_naive(rng: random.Random) -> RequestLog:
+async def _run_naive(rng: random.Random) -> RequestLog:
     rig = NaiveRig(rng, _SLOTS, timeout=2)
     await rig.start(_ENTRIES, _HOSTS, LinkFaults())
     for upstream in rig.upstreams:
         upstream.work_seconds = _WORK_SECONDS
     try:
-        load = asyncio.create_task(_load(rig.urls(), rng))
-        await asyncio.sleep(_STEP_SECONDS)
+        load = asyncio.create_task(_send_requests(rig.urls(), rng))
+        await asyncio.sleep(_STOP_INTERVAL_SECONDS)
         await rig.proxies[0].stop()
-        await asyncio.sleep(_STEP_SECONDS)
+        await asyncio.sleep(_STOP_INTERVAL_SECONDS)
         await rig.upstreams[0].stop()
         return await load
     finally:
         await rig.stop()
 
 
-async def _load(urls: list[str], rng: random.Random) -> RequestLog:
+async def _send_requests(urls: list[str], rng: random.Random) -> RequestLog:
     log = RequestLog()
     async with aiohttp.ClientSession() as session:
         async with asyncio.TaskGroup() as group:
-            for number in range(_KEYS):
+            for number in range(_REQUESTS):
                 key = f'stop-{number}'
                 group.create_task(_send(session, urls, key, log, rng))
-                await asyncio.sleep(_PACE_SECONDS)
+                await asyncio.sleep(_REQUEST_INTERVAL_SECONDS)
     return log
 
 
@@ -112,12 +117,12 @@
     log: RequestLog,
     rng: random.Random,
 ) -> None:
-    """Send through one entry; another one if it takes no connections."""
-    body = body_of(key, rng)
+    """Send a request, trying another entry if one refuses connections."""
+    body = make_body(key, rng)
     idempotent = rng.randrange(2) == 0
     for url in rng.sample(urls, len(urls)):
-        sent = Attempt(key, url, body, idempotent)
-        outcome = await attempt(session, sent)
-        if outcome != REFUSED:
-            log.note(key, outcome, idempotent=idempotent)
+        request = Attempt(key, url, body, idempotent)
+        outcome = await send_attempt(session, request)
+        if outcome != CONNECTION_REFUSED:
+            log.record(key, outcome, idempotent=idempotent)
             return
--- a/siskinbank/lab/request_storm.py
+++ b/siskinbank/lab/request_storm.py
@@ -1,4 +1,4 @@
-"""Work offered to upstreams that all fail."""
+"""Retry amplification while all upstreams fail."""
 
 import asyncio
 import random
@@ -8,46 +8,51 @@
 
 from siskinbank.lab.faulty_link import LinkFaults
 from siskinbank.lab.naive_requests import NaiveRig
-from siskinbank.lab.request_log import Attempt, attempt
+from siskinbank.lab.request_log import Attempt, send_attempt
 from siskinbank.lab.request_rig import RequestRig
 from siskinbank.lab.request_upstream import Behaviour, RequestUpstream
 
-__all__ = ('measure_storm',)
+__all__ = ('measure_retry_storm',)
 
 _ENTRIES = 3
 _HOSTS = 4
 _SLOTS = 20
-_FRESH = 400
-_PACE_SECONDS = 0.007
+_REQUESTS = 400
+_REQUEST_INTERVAL_SECONDS = 0.007
 
 
-async def measure_storm(seed: int, *, naive: bool) -> dict[str, Any]:
-    """Return the work offered to the upstreams for each fresh request."""
+async def measure_retry_storm(seed: int, *, naive: bool) -> dict[str, Any]:
+    """Return the requests that reach the upstreams per request of a caller.
+
+    Args:
+        seed: seed of the run.
+        naive: whether to measure naive proxies instead of siskinbank.
+    """
     rng = random.Random(seed)
-    arrivals = await (_storm_naive(rng) if naive else _storm_ours(rng))
-    return {'amplification': arrivals / _FRESH}
+    arrivals = await (_run_naive(rng) if naive else _run_siskinbank(rng))
+    return {'amplification': arrivals / _REQUESTS}
 
 
-async def _storm_ours(rng: random.Random) -> int:
+async def _run_siskinbank(rng: random.Random) -> int:
     rig = RequestRig(rng, _SLOTS)
     await rig.start(_ENTRIES, _HOSTS)
     try:
         upstreams = [host.upstream for host in rig.hosts.values()]
-        return await _storm(upstreams, list(rig.urls()), rng)
+        return await _count_arrivals(upstreams, list(rig.urls()), rng)
     finally:
         await rig.stop()
 
 
-async def _storm_naive(rng: random.Random) -> int:
+async def _run_naive(rng: random.Random) -> int:
     rig = NaiveRig(rng, _SLOTS)
     await rig.start(_ENTRIES, _HOSTS, LinkFaults())
     try:
-        return await _storm(rig.upstreams, rig.urls(), rng)
+        return await _count_arrivals(rig.upstreams, rig.urls(), rng)
     finally:
         await rig.stop()
 
 
-async def _storm(
+async def _count_arrivals(
     upstreams: list[RequestUpstream],
     urls: list[str],
     rng: random.Random,
@@ -56,13 +61,13 @@
         upstream.behaviour = Behaviour.drop
     async with aiohttp.ClientSession() as session:
         async with asyncio.TaskGroup() as group:
-            for number in range(_FRESH):
-                sent = Attempt(
+            for number in range(_REQUESTS):
+                request = Attempt(
                     f'storm-{number}',
                     rng.choice(urls),
                     b'storm',
                     idempotent=True,
                 )
-                group.create_task(attempt(session, sent))
-                await asyncio.sleep(_PACE_SECONDS)
+                group.create_task(send_attempt(session, request))
+                await asyncio.sleep(_REQUEST_INTERVAL_SECONDS)
     return sum(stand_in.arrivals for stand_in in upstreams)
--- a/siskinbank/lab/request_upstream.py
+++ b/siskinbank/lab/request_upstream.py
@@ -1,4 +1,4 @@
-"""An upstream for experiments with requests, in this very process."""
+"""In-process upstream for experiments with requests."""
 
 import asyncio
 import enum
@@ -12,11 +12,18 @@
 
 __all__ = ('Behaviour', 'RequestUpstream')
 
-_POLL_SECONDS = 0.05
+_DRAIN_POLL_SECONDS = 0.05
 
 
 class Behaviour(enum.StrEnum):
-    """What the upstream does with a request after it has run."""
+    """What the upstream does after it has run a request.
+
+    Attributes:
+        answer: send the answer.
+        drop: abort the connection without an answer.
+        cut: abort the connection before the end of the body.
+        hang: never answer.
+    """
 
     answer = 'answer'
     drop = 'drop'
@@ -25,14 +32,27 @@
 
 
 class RequestUpstream:
-    """Runs requests within its slots and echoes their bodies.
-
-    ``runs`` counts the runs of each key, ``served`` the answers that were
-    finished, ``cancelled`` the runs whose caller left.
+    """Runs a limited number of requests at a time and echoes their bodies.
+
+    Attributes:
+        name: name of the host.
+        behaviour: what happens to a request after it has run.
+        work_seconds: mean run time of a request.
+        runs: number of runs by key.
+        arrivals: number of requests received.
+        served: number of complete answers.
+        cancelled: number of requests whose caller disconnected early.
+        headers: headers of each request received.
     """
 
     def __init__(self, name: str, slots: int, rng: random.Random) -> None:
-        """Run at most ``slots`` requests at a time; the others wait."""
+        """Create a stopped upstream.
+
+        Args:
+            name: name of the host, sent in the ``X-Host`` header.
+            slots: requests to run at the same time; further ones wait.
+            rng: draws the run times.
+        """
         self.name = name
         self.behaviour = Behaviour.answer
         self.work_seconds = 0.01
@@ -44,43 +64,43 @@
         self._slots = asyncio.Semaphore(slots)
         self._rng = rng
         self._runner: web.ServerRunner | None = None
-        self._site: web.TCPSite | None = None
-        self._open = 0
+        self._listener: web.TCPSite | None = None
+        self._active_requests = 0
 
     async def start(self, address: Address) -> None:
-        """Listen.
+        """Start to listen on an address.
 
         Raises:
             OSError: the address could not be bound.
         """
         server = web.Server(
-            self._answer,
+            self._handle,
             handler_cancellation=True,
             access_log=None,
         )
         self._runner = web.ServerRunner(server, shutdown_timeout=0)
         await self._runner.setup()
-        self._site = web.TCPSite(self._runner, *address, reuse_address=True)
-        await self._site.start()
+        self._listener = web.TCPSite(self._runner, *address, reuse_address=True)
+        await self._listener.start()
 
     async def drain(self) -> None:
-        """Stop as planned: take no more connections and finish what runs."""
-        if self._site is not None:
-            await self._site.stop()
-        while self._open:
-            await asyncio.sleep(_POLL_SECONDS)
+        """Stop accepting connections, finish running requests and stop."""
+        if self._listener is not None:
+            await self._listener.stop()
+        while self._active_requests:
+            await asyncio.sleep(_DRAIN_POLL_SECONDS)
         await self.stop()
 
     async def stop(self) -> None:
-        """Stop at once, as a process that is killed."""
+        """Stop immediately, as a killed process does."""
         if self._runner is not None:
             await self._runner.cleanup()
             self._runner = None
 
-    async def _answer(self, request: web.BaseRequest) -> web.StreamResponse:
+    async def _handle(self, request: web.BaseRequest) -> web.StreamResponse:
         self.arrivals += 1
         self.headers.append(dict(request.headers))
-        self._open += 1
+        self._active_requests += 1
         try:
             async with self._slots:
                 return await self._run(request)
@@ -88,7 +108,7 @@
             self.cancelled += 1
             raise
         finally:
-            self._open -= 1
+            self._active_requests -= 1
 
     async def _run(self, request: web.BaseRequest) -> web.StreamResponse:
         body = await request.content.read()
@@ -99,28 +119,28 @@
         if self.behaviour is Behaviour.hang:
             await asyncio.Event().wait()
         if self.behaviour is Behaviour.drop:
-            _abort(request)
+            _abort_connection(request)
         headers = {'X-Host': self.name, 'X-Key': key}
         if self.behaviour is Behaviour.cut:
-            return await self._cut(request, body, headers)
+            return await self._send_truncated(request, body, headers)
         self.served += 1
         return web.Response(body=body, headers=headers)
 
-    async def _cut(
+    async def _send_truncated(
         self,
         request: web.BaseRequest,
         body: bytes,
         headers: dict[str, str],
     ) -> web.StreamResponse:
-        """Answer with half of a body."""
+        """Send a body shorter than announced and abort the connection."""
         response = web.StreamResponse(headers=headers)
         response.content_length = len(body) + 1
         await response.prepare(request)
         await response.write(body)
-        _abort(request)
+        _abort_connection(request)
         return response
 
 
-def _abort(request: web.BaseRequest) -> None:
+def _abort_connection(request: web.BaseRequest) -> None:
     if request.transport is not None:
         request.transport.abort()
