--- a/siskinbank/admission/arrivals.py
+++ b/siskinbank/admission/arrivals.py
@@ -2,11 +2,11 @@
 
 Load patterns: all hosts of a service restart at once, and cold hosts can
 handle only a few requests a second over all entries; more first packets arrive
-at once than a host has slots while its neighbours have room; entries act on a
-state that is seconds old of a host that is leaving, whose data centre was
-taken out, or whose address was reassigned to another service. The sidecar
-therefore decides when the packet arrives, on its own measurements and the
-latest record from the store.
+at once than a host has slots while its neighbours have room; entries choose by
+statuses that are seconds old and do not show yet that a host is leaving, that
+its data centre was taken out, or that its address was reassigned to another
+service. The sidecar therefore decides when the packet arrives, on its own
+measurements and the latest record from the store.
 """
 
 from __future__ import annotations
@@ -28,9 +28,9 @@
 # Length of the sliding window in seconds, with room for the jitter between the
 # sidecar's clock and the host's socket.
 _COLD_WINDOW_S = 1.05
-# New flows a second beyond the rate of a cold host: the platform allows 5 and
-# half as many again; the rest is a margin for retransmissions that are under
-# way.
+# New flows a second beyond the rate of a cold host. The platform allows 1.5
+# times the rate plus 5; what is left of that is a margin for retransmissions
+# that are under way.
 _COLD_EXTRA_FLOWS_PER_S = 3
 
 # Processing time of a request in seconds before any was measured.
@@ -54,9 +54,9 @@
 # First packets refused in a row before a host is paused. A single refusal may
 # come just as the host leaves or is full.
 _REFUSALS_BEFORE_PAUSE = 2
-# Pauses before a refusing host is tried again, in seconds: the first is about
-# the time a host takes to start, the longest the time after which the store
-# forgets it.
+# First and longest pause before a refusing host is tried again, in seconds. The
+# first is about the time that a host takes to start; after the longest, the
+# store has removed the record of a host that is gone.
 _FIRST_PAUSE_S = 0.25
 _MAX_PAUSE_S = 2.0
 
@@ -74,10 +74,15 @@
         self._times: list[float] = []
 
     def spare(self, now: float, per_s: float) -> int:
-        """Return how many more flows fit in at this moment."""
-        edge = now - _COLD_WINDOW_S
+        """Return how many more flows are within the limit.
+
+        Args:
+            now: the time in seconds.
+            per_s: rate of a cold host in new flows a second.
+        """
+        oldest = now - _COLD_WINDOW_S
         self._times = [
-            accepted_at for accepted_at in self._times if accepted_at > edge
+            accepted_at for accepted_at in self._times if accepted_at > oldest
         ]
         return max(0, int(per_s) + _COLD_EXTRA_FLOWS_PER_S - len(self._times))
 
@@ -90,10 +95,9 @@
     """Accepted flows whose first request has not arrived yet.
 
     Load pattern: many first packets reach a host within the time that a client
-    takes to send its request. None of them shows among the requests in
-    progress yet, and all of them will. After that, in a backlog, many clients
-    have abandoned their flows, so the host must not wait long for their
-    requests.
+    takes to send its request. None of them counts as a request in progress
+    yet, but all of them soon will. When a backlog follows, many clients have
+    abandoned their flows, so their requests must not be expected for long.
     """
 
     __slots__ = ('_accepted_at', '_mean_arrival_s')
@@ -120,12 +124,14 @@
         self._accepted_at.pop(key, None)
 
     def count(self, now: float) -> int:
-        """Return how many requests are expected; some never arrive."""
-        edge = now - min(_MAX_ARRIVAL_S, self._mean_arrival_s * _ARRIVAL_FACTOR)
+        """Return how many requests are expected; forget overdue ones."""
+        oldest = now - min(
+            _MAX_ARRIVAL_S, self._mean_arrival_s * _ARRIVAL_FACTOR
+        )
         overdue = [
             key
             for key, accepted_at in self._accepted_at.items()
-            if accepted_at < edge
+            if accepted_at < oldest
         ]
         for key in overdue:
             self._accepted_at.pop(key)
@@ -150,11 +156,11 @@
         self.seconds += (elapsed_s - self.seconds) * _AVERAGE_WEIGHT
 
     def wait_s(self, busy: int, slots: int) -> float:
-        """Return how long a new request would wait for a slot.
+        """Return how many seconds a new request would wait for a slot.
 
         Args:
             busy: requests in progress at the host.
-            slots: requests that it works on at a time.
+            slots: requests that the host processes concurrently.
         """
         return max(0, busy - slots + 1) * self.seconds / slots
 
@@ -162,37 +168,38 @@
 class QueueCapacity:
     """Queue capacity of a host, learned from the requests that it sheds.
 
-    Load pattern: a backlog fills the queue of every host. One more request is
-    answered with a refusal and uses up one of its caller's tries, while a
-    first packet that waits for its next retransmission costs nothing.
+    Load pattern: a backlog fills the queue of every host. A further request
+    would be refused and cost its caller one of its tries, while a first packet
+    that is dropped until its next retransmission costs nothing.
     """
 
-    __slots__ = ('_learned_limit', '_shed_at')
+    __slots__ = ('_learned_capacity', '_shed_at')
 
     def __init__(self) -> None:
         """Create an unbounded capacity."""
-        self._learned_limit: float = 0
+        self._learned_capacity: float = 0
         self._shed_at: float = 0
 
     def note_shed(self, requests: int, now: float) -> None:
         """Note that a host shed a request with this many in progress."""
-        self._learned_limit = max(1, requests)
+        self._learned_capacity = max(1, requests)
         self._shed_at = now
 
     def is_full(self, requests: int, now: float) -> bool:
-        """Return whether a host with this many requests would shed another."""
+        """Return whether another request would be shed, with this many now."""
         if not self._shed_at:
             return False
         # The capacity may grow again with the processing rate, so the limit is
         # raised gradually.
         capacity = (
-            self._learned_limit + (now - self._shed_at) * _CAPACITY_GROWTH_PER_S
+            self._learned_capacity
+            + (now - self._shed_at) * _CAPACITY_GROWTH_PER_S
         )
         return requests >= int(capacity)
 
 
 class RefusalBackoff:
-    """Keeps new flows away from a host that refuses all of them.
+    """Back-off for new flows to a host that refuses all of them.
 
     Load pattern: after a power failure, machines come back whose hosts were
     replaced while the store still lists them. They are idle, so every entry
@@ -250,12 +257,14 @@
         wait_s: how long it would wait here in seconds, None if the queue is
             full.
         longest_s: how long it may wait, in seconds.
-        best_wait_s: the shortest wait at the hosts before, None without one.
-        candidates_left: whether it can be forwarded.
+        best_wait_s: the shortest wait at the hosts visited before in seconds,
+            None if there is none.
+        candidates_left: whether it can be forwarded to another candidate.
 
     Returns:
-        ``here``, ``on``, ``back`` (to the host with the shortest wait) or
-        ``nowhere`` at this moment.
+        ``here``: queue it here; ``on``: forward it to the next candidate;
+        ``back``: send it to the host with the shortest wait; ``nowhere``: no
+        host has a short enough wait at present.
     """
     if wait_s == 0:
         return 'here'
--- a/siskinbank/admission/balance.py
+++ b/siskinbank/admission/balance.py
@@ -14,9 +14,9 @@
 #: Factor above the mean load at which a host starts to forward first packets.
 FAIR_FACTOR = 1.02
 #: Age in seconds from which a load report is ignored.
-MAX_AGE_SECONDS = 20.0
+MAX_REPORT_AGE_SECONDS = 20.0
 #: Hosts drawn beyond those to ask, so that the most loaded ones drop out.
-_SPARE = 0
+_EXTRA_DRAWN_HOSTS = 0
 
 
 @dataclass(slots=True)
@@ -45,7 +45,7 @@
         self._hosts: dict[int, Host] = {}
         self._addresses: dict[bytes, Host] = {}
         self._loads: dict[int, HostLoad] = {}
-        self._others: tuple[float, float] = (0, 0)
+        self._others_load_and_weight: tuple[float, float] = (0, 0)
         self._rooms: dict[bytes, int] = {}
 
     @property
@@ -71,8 +71,8 @@
             self._loads[seed] = HostLoad(load, room, at)
 
     def fresh(self) -> list[tuple[Host, HostLoad]]:
-        """Return the loads that are not too old."""
-        oldest = self._clock() - MAX_AGE_SECONDS
+        """Return the hosts with a recent load report, and their loads."""
+        oldest = self._clock() - MAX_REPORT_AGE_SECONDS
         return [
             (self._hosts[seed], known)
             for seed, known in self._loads.items()
@@ -82,10 +82,10 @@
     def refresh(self) -> None:
         """Update the totals of the hosts that have room."""
         fresh = self.fresh()
-        roomy = [(host, known) for host, known in fresh if known.room]
-        self._others = (
-            sum(known.load for _host, known in roomy),
-            sum(host.weight for host, _known in roomy),
+        not_full = [(host, known) for host, known in fresh if known.room]
+        self._others_load_and_weight = (
+            sum(known.load for _host, known in not_full),
+            sum(host.weight for host, _known in not_full),
         )
         self._rooms = {
             pack_address(host.address): known.room for host, known in fresh
@@ -94,9 +94,10 @@
     def fair_load(self, own_load: int, own_weight: float) -> float:
         """Return the connections up to which this host accepts first packets.
 
-        Infinite while no load is known: then only the own limit applies.
+        Infinite while no load is known: then only the host's own limit
+        applies.
         """
-        load, weight = self._others
+        load, weight = self._others_load_and_weight
         if not weight:
             return math.inf
         mean = (load + own_load) / (weight + own_weight) * own_weight
@@ -105,8 +106,8 @@
     def sort(self, addresses: Sequence[bytes]) -> list[bytes]:
         """Return packed addresses, the least loaded host first.
 
-        A host of unknown load counts as a host with mean load, one without
-        room comes last.
+        A host of unknown load is ranked by the mean load. Full hosts come
+        last.
         """
         keys = {address: self._key(address) for address in addresses}
         return sorted(addresses, key=keys.__getitem__)
@@ -124,7 +125,7 @@
         """
         rooms = self._rooms
         left = [address for address in self._addresses if rooms.get(address, 1)]
-        drawn = rng.sample(left, min(count + _SPARE, len(left)))
+        drawn = rng.sample(left, min(count + _EXTRA_DRAWN_HOSTS, len(left)))
         return self.sort(drawn)[:count]
 
     def expect(self, address: bytes) -> None:
@@ -137,8 +138,8 @@
     def _key(self, address: bytes) -> tuple[bool, float]:
         host = self._addresses.get(address)
         known = self._loads.get(host.seed) if host else None
-        oldest = self._clock() - MAX_AGE_SECONDS
+        oldest = self._clock() - MAX_REPORT_AGE_SECONDS
         if host is None or known is None or known.at < oldest:
-            load, weight = self._others
+            load, weight = self._others_load_and_weight
             return False, load / weight if weight else 0
         return not known.room, known.load / host.weight
--- a/siskinbank/admission/flow_suspension.py
+++ b/siskinbank/admission/flow_suspension.py
@@ -7,14 +7,15 @@
 
 __all__ = ('FlowSuspension',)
 
-#: Seconds without packets after the caller's last data, after which the flow's
-#: unit of the limit is free.
-_CLOSING_SECONDS = 2
-#: The same for a flow from before the upstream turned cold: it may be dead.
-_UNCONFIRMED_SECONDS = 10
+#: Seconds without packets after which a flow whose caller has sent all its data
+#: frees its unit of the limit.
+_CLOSING_TIMEOUT_SECONDS = 2
+#: The same for a flow that was resumed after the upstream turned cold: the flow
+#: may have ended with the upstream.
+_RESUMED_TIMEOUT_SECONDS = 10
 #: Seconds without packets after which a suspended flow counts as ended at the
 #: upstream too.
-_ENDED_SECONDS = 10
+_ENDED_TIMEOUT_SECONDS = 10
 
 
 class FlowSuspension:
@@ -23,7 +24,7 @@
     A suspended flow stays owned, and its packets are dropped until the
     climbing limit has room: the caller's transport retransmits them. So an
     upstream that turned cold does not get the load that it carried a moment
-    earlier, and no flow breaks on a mere suspicion.
+    earlier, and a wrong verdict breaks no flow.
     """
 
     def __init__(self, limit: ClimbingLimit, clock: Clock) -> None:
@@ -52,7 +53,14 @@
         self._update_limit()
 
     def admits(self, flow: Hashable, *, closing: bool) -> bool:
-        """Whether a packet of an owned flow may go to the upstream now."""
+        """Return whether a packet of an owned flow may go to the upstream now.
+
+        A suspended flow is resumed if the limit has room.
+
+        Args:
+            flow: the flow.
+            closing: whether its caller has sent all its data.
+        """
         if closing:
             self._closing.add(flow)
         elif not self._suspended and not self._deadlines:
@@ -60,9 +68,9 @@
         if flow in self._suspended:
             return self._resume(flow)
         if flow in self._closing:
-            self._deadlines[flow] = self._clock() + _CLOSING_SECONDS
+            self._deadlines[flow] = self._clock() + _CLOSING_TIMEOUT_SECONDS
         elif flow in self._deadlines:
-            self._deadlines[flow] = self._clock() + _UNCONFIRMED_SECONDS
+            self._deadlines[flow] = self._clock() + _RESUMED_TIMEOUT_SECONDS
         return True
 
     def sweep(self) -> None:
@@ -72,10 +80,10 @@
         for silent_flow in silent:
             del self._deadlines[silent_flow]
             self._suspended[silent_flow] = now
-        latest = now - _ENDED_SECONDS
+        oldest = now - _ENDED_TIMEOUT_SECONDS
         self._limit.presumed_ended = sum(
-            seen < latest or suspended_flow in self._closing
-            for suspended_flow, seen in self._suspended.items()
+            last_seen < oldest or suspended_flow in self._closing
+            for suspended_flow, last_seen in self._suspended.items()
         )
         self._update_limit()
 
@@ -99,12 +107,12 @@
                 self.forget(gone)
 
     def _resume(self, flow: Hashable) -> bool:
-        # A closing flow is open at the upstream in any case, so its last
-        # packets pass.
+        # The upstream has a closing flow open already, so the last packets of
+        # the flow pass.
         if flow in self._closing:
-            self._deadlines[flow] = self._clock() + _CLOSING_SECONDS
+            self._deadlines[flow] = self._clock() + _CLOSING_TIMEOUT_SECONDS
         elif self._limit.claim():
-            self._deadlines[flow] = self._clock() + _UNCONFIRMED_SECONDS
+            self._deadlines[flow] = self._clock() + _RESUMED_TIMEOUT_SECONDS
         else:
             self._suspended[flow] = self._clock()
             return False
--- a/siskinbank/admission/health_monitor.py
+++ b/siskinbank/admission/health_monitor.py
@@ -13,28 +13,38 @@
 _UNREACHABLE_FAILURES = 3
 #: Seconds over which answers are evaluated.
 _WINDOW_SECONDS = 1.0
+#: Fewest answers in that time for which the share of failures is evaluated.
 _MIN_ANSWERS = 3
+#: Shares of failures that are a sign of trouble or of a cold upstream.
 _TROUBLE_FAILED_SHARE = 0.2
 _COLD_FAILED_SHARE = 0.5
 #: Answers slower than usual by these factors are a sign of trouble or of a
 #: cold upstream.
 _TROUBLE_SLOW_FACTOR = 3.0
 _COLD_SLOW_FACTOR = 6.0
-#: Seconds below which a slower answer is no sign: such delays occur on any
-#: busy machine.
+#: Seconds beyond that by which an answer must be slower to be a sign: shorter
+#: delays occur on any busy machine.
 _NOISE_SECONDS = 0.02
+#: Slow answers in a row that are a sign.
 _MIN_SLOW_ANSWERS = 2
-_USUAL_WEIGHT = 0.02
-#: Seconds by which an uptime may go back before it counts as a restart.
+#: Weight of the newest answer in the usual response time.
+_USUAL_TIME_WEIGHT = 0.02
+#: Seconds by which a reported uptime may decrease without counting as a
+#: restart.
 _UPTIME_SLACK_SECONDS = 1.0
-#: Restarts that reports may claim without any other sign.
+#: Claims of load reports (a restart or trouble) that are acted upon while the
+#: answers contradict them.
 _MAX_UNCONFIRMED_CLAIMS = 3
 #: Seconds by which a report may lag behind what the answers show.
 _REPORT_LAG_SECONDS = 15.0
 
 
 class Verdict(enum.StrEnum):
-    """A conclusion about an upstream; the values are reasons of the counter."""
+    """A conclusion about an upstream; the values are reasons in the metrics.
+
+    ``back``: an unreachable upstream answers again; ``distrusted``: claims of
+    its load reports are ignored.
+    """
 
     trouble = 'trouble'
     cold = 'cold'
@@ -70,9 +80,9 @@
 
     A report can only lower the limit. What raises the limit is time and good
     answers, so an endpoint whose reports are wrong, late or missing does not
-    get the upstream more load than it can handle. A claim that the answers
-    contradict is acted upon a few times and then ignored until the answers
-    confirm it.
+    get the upstream more load than it can handle. A claim of a report (that the
+    upstream is cold or in trouble) which the answers contradict is acted upon
+    a few times and then ignored until the answers confirm it.
     """
 
     def __init__(
@@ -85,7 +95,7 @@
 
         Args:
             clock: the time in seconds.
-            on_verdict: is called with each verdict.
+            on_verdict: called with each verdict.
             claim_window_seconds: twice the warm-up; the time after which
                 claims that no answer confirmed are acted upon again.
         """
@@ -149,30 +159,33 @@
 
     def note_report(self, report: LoadReport) -> None:
         """Note a load report of the upstream."""
-        known = self._report
+        previous = self._report
         if report.health is not Health.silent:
             self._report = report
-        if known is not None and self._reports_restart(known, report):
+        if previous is not None and self._reports_restart(previous, report):
             self._handle_claim(Verdict.cold)
         elif report.health is Health.cold:
-            self._handle_cold_report(known)
+            self._handle_cold_report(previous)
         elif report.health is not Health.good:
             self._handle_claim(Verdict.trouble)
 
-    def _handle_cold_report(self, known: LoadReport | None) -> None:
-        if known is None or known.health is not Health.cold:
+    def _handle_cold_report(self, previous: LoadReport | None) -> None:
+        if previous is None or previous.health is not Health.cold:
             self._handle_claim(Verdict.cold)
 
-    def _reports_restart(self, known: LoadReport, report: LoadReport) -> bool:
+    def _reports_restart(
+        self, previous: LoadReport, report: LoadReport
+    ) -> bool:
         if report.health is Health.silent:
             return False
-        if None not in {known.incarnation, report.incarnation}:
-            if known.incarnation != report.incarnation:
+        if None not in {previous.incarnation, report.incarnation}:
+            if previous.incarnation != report.incarnation:
                 return True
-        if known.uptime is None or report.uptime is None:
+        if previous.uptime is None or report.uptime is None:
             return False
-        # A lagging endpoint repeats old values; a restart counts from zero.
-        return report.uptime + _UPTIME_SLACK_SECONDS < known.uptime
+        # A lagging endpoint repeats old values; after a restart the uptime
+        # starts at zero.
+        return report.uptime + _UPTIME_SLACK_SECONDS < previous.uptime
 
     def _handle_claim(self, verdict: Verdict) -> None:
         now = self._clock()
@@ -224,11 +237,11 @@
             return
         if seconds <= usual * _TROUBLE_SLOW_FACTOR + _NOISE_SECONDS:
             self._slow_in_a_row = 0
-            self._usual_seconds = usual + (seconds - usual) * _USUAL_WEIGHT
+            self._usual_seconds = usual + (seconds - usual) * _USUAL_TIME_WEIGHT
             return
-        # The usual time also follows slow answers, but much later, so that a
+        # Slow answers raise the usual time too, but gradually, so that a
         # lasting change is not treated as trouble for ever.
-        self._usual_seconds = usual + usual * _USUAL_WEIGHT
+        self._usual_seconds = usual + usual * _USUAL_TIME_WEIGHT
         self._slow_in_a_row += 1
         if self._slow_in_a_row < _MIN_SLOW_ANSWERS:
             return
--- a/siskinbank/admission/limit.py
+++ b/siskinbank/admission/limit.py
@@ -4,8 +4,8 @@
 
 __all__ = ('ClimbingLimit',)
 
-#: While the limit is below full, at most the limit's worth of units is granted
-#: in any second: this share of it at once, the rest spread evenly.
+#: A paced limit that is below full grants at most as many units in any second as
+#: the limit is high: this share of them at once, the rest spread evenly.
 _BURST_SHARE = 0.1
 _PACE_SHARE = 1 - _BURST_SHARE
 #: Share of the units in use that remains after a sign of trouble.
@@ -25,8 +25,7 @@
     All ingresses of a sidecar share the one object, so that any number of
     entries that act at once stays within it. ``used`` counts the units taken;
     ``suspended`` of them belong to flows that get no packets at present, and
-    ``presumed_ended`` of these to flows that have ended without the sidecar
-    seeing it.
+    ``presumed_ended`` of these to flows that count as ended after a silence.
     """
 
     def __init__(
@@ -38,7 +37,7 @@
         *,
         paced: bool = False,
     ) -> None:
-        """Start at ``cold`` and reach ``full`` after the warm-up.
+        """Create a limit that climbs from ``cold`` to ``full`` in the warm-up.
 
         Args:
             cold: what the upstream can handle right after its start.
@@ -56,9 +55,9 @@
         self._blocked = False
         self._lowered_at = float('-inf')
         self._returned_at: float | None = None
-        self._return_seconds = 1.0
+        self._mean_return_seconds = 1.0
         self._configure(cold, full, warm_up_seconds)
-        self._level: float = self._cold
+        self._start_level: float = self._cold
         self._tokens = self._burst_tokens()
         self.used = 0
         self.suspended = 0
@@ -134,7 +133,7 @@
         return True
 
     def claim(self) -> bool:
-        """Whether one more unit may come into use now; spends a token."""
+        """Return whether one more unit may come into use; spend a token."""
         if self.in_use >= self.limit:
             return False
         if not self._paced or self.is_full:
@@ -152,8 +151,8 @@
         now = self._clock()
         if self._returned_at is not None:
             interval = now - self._returned_at
-            self._return_seconds += _RETURN_WEIGHT * (
-                interval - self._return_seconds
+            self._mean_return_seconds += _RETURN_WEIGHT * (
+                interval - self._mean_return_seconds
             )
         self._returned_at = now
 
@@ -162,7 +161,7 @@
             return self._warm_up
         missing = self._open_units() + 1 - self.limit
         if missing > 0:
-            return_wait = self._return_seconds * missing
+            return_wait = self._mean_return_seconds * missing
             if self.is_full or not self._climb_per_second:
                 return return_wait
             return min(return_wait, missing / self._climb_per_second)
@@ -181,7 +180,8 @@
         if elapsed >= self._warm_up:
             return self._full
         return min(
-            self._full, int(self._level + self._climb_per_second * elapsed)
+            self._full,
+            int(self._start_level + self._climb_per_second * elapsed),
         )
 
     def _burst_tokens(self) -> float:
@@ -205,7 +205,7 @@
         self._climb_per_second = (full - self._cold) / warm_up if warm_up else 0
 
     def _climb_from(self, level: int) -> None:
-        self._level = level
+        self._start_level = level
         self._climb_started_at = self._clock()
         self._tokens = min(self._available_tokens(), self._burst_tokens())
         self._refilled_at = self._clock()
--- a/siskinbank/admission/pending_queue.py
+++ b/siskinbank/admission/pending_queue.py
@@ -30,10 +30,10 @@
 # four one-way trips to a client at 3 ms each, and the delay of a busy process.
 _NETWORK_S = 0.02
 # Processing before an answer is ready, in multiples of the usual time: the
-# request itself, and on average half of the one processed before it.
+# request itself, and on average half of the request that occupies the slot.
 _PROCESSING_FACTOR = 1.5
-# Flows in time above which the newest goes first: more than wait by chance at
-# a host that is not overloaded.
+# With more queued flows than this that can be in time, the newest goes first. At
+# a host that is not overloaded, no more than this wait by chance.
 _MAX_IN_ORDER = 2
 # Requests that a host gets beyond its slots, to cover the round trip to the
 # client: the next one is there when a slot becomes free.
@@ -60,9 +60,9 @@
 
     Attributes:
         opening: the packet with the routing data from its entry.
-        since: when it arrived at this host.
-        sent: when the client sent the first transmission.
-        aim_s: target latency of the client, in seconds.
+        queued_at: time in seconds when it arrived at this host.
+        sent: time in seconds when the client sent the first transmission.
+        target_latency_s: target latency of the client, in seconds.
     """
 
     __slots__ = ('target_latency_s', 'opening', 'sent', 'queued_at')
@@ -81,7 +81,12 @@
         self.target_latency_s = target_latency_s
 
     def in_time_at(self, now: float, work_s: float) -> bool:
-        """Return whether an answer would be in time, with a slot free now."""
+        """Return whether an answer would be in time, with a slot free now.
+
+        Args:
+            now: the time in seconds.
+            work_s: the host's mean processing time of a request in seconds.
+        """
         needed = _PROCESSING_FACTOR * work_s + _NETWORK_S
         return now + needed < self.sent + self.target_latency_s
 
@@ -119,9 +124,9 @@
         return self.count_in_time(now, work_s)
 
     def count_in_time(self, now: float, work_s: float) -> int:
-        """Return how many flows at most go before a new one."""
-        queued = self._queued.values()
-        return sum(1 for one in queued if one.in_time_at(now, work_s))
+        """Return how many queued flows can still be in time."""
+        flows = self._queued.values()
+        return sum(1 for queued in flows if queued.in_time_at(now, work_s))
 
     def next(
         self,
@@ -134,7 +139,8 @@
         Args:
             now: the time in seconds.
             work_s: the host's mean processing time of a request in seconds.
-            free: slots without a request, below 0 for requests that wait.
+            free: slots without a request; negative if requests wait at the
+                host.
         """
         if free <= -_MAX_WAITING_AT_HOST:
             return None
@@ -153,9 +159,9 @@
 
     def remove_abandoned(self, now: float) -> list[tuple[bytes, QueuedOpening]]:
         """Remove and return the flows that their clients have abandoned."""
-        edge = now - _ABANDONED_S
+        oldest = now - _ABANDONED_S
         gone = [
-            key for key, queued in self._queued.items() if queued.sent < edge
+            key for key, queued in self._queued.items() if queued.sent < oldest
         ]
         return [(key, self._queued.pop(key)) for key in gone]
 
--- a/siskinbank/admission/reasons.py
+++ b/siskinbank/admission/reasons.py
@@ -31,6 +31,8 @@
 UNREACHABLE = 5
 UNREGISTERED = 6
 COLD = 7
+# The shortest expected wait exceeds the time limit of the request, or the host
+# is not trusted and gets no trial flow now.
 BUSY = 8
 HOST_REFUSED = 9
 # The queue is full now, but has room before the time limit.
@@ -54,7 +56,7 @@
 )
 
 # Reasons that may no longer hold at the next packet; the others hold until the
-# next host status.
+# next status update.
 TRANSIENT = frozenset((COLD, BUSY, HOST_REFUSED, FULL))
 # Reasons that end before a client abandons its first packet.
 SHORT_LIVED = frozenset((COLD, FULL, UNREACHABLE, REFUSING))
--- a/siskinbank/admission/upstream.py
+++ b/siskinbank/admission/upstream.py
@@ -64,9 +64,9 @@
     """Return the admission state of a cold upstream.
 
     Args:
-        service: states the limits.
+        service: the service, with its limits.
         clock: the time in seconds.
-        on_verdict: is called with each verdict after it was applied.
+        on_verdict: called with each verdict after it was applied.
         owned_flows: returns the upstream's open flows.
     """
     cold = service.cold
--- a/siskinbank/choice/__init__.py
+++ b/siskinbank/choice/__init__.py
@@ -6,7 +6,7 @@
 
 
 def __getattr__(name: str) -> object:
-    """Load the registry on first use, as packet processes need none."""
+    """Load the registry on first use; placement works without it."""
     if name == 'choices':
         from siskinbank.choice.registry import choices
 
--- a/siskinbank/choice/placement.py
+++ b/siskinbank/choice/placement.py
@@ -24,13 +24,14 @@
 # Weight of a flow in a host's load relative to one request in progress: a long
 # flow has a request in progress about a tenth of the time.
 _FLOW_WEIGHT = 0.1
-# Cost of another data centre, in requests in progress: the round trip takes a
+# Cost of another data centre, in requests in progress: the network delay is a
 # twentieth of a usual request's time.
 _REMOTE_WEIGHT = 0.15
 # Cost of a host without a record from the store, in requests in progress: it
 # may have been replaced, but is no worse than a busy host.
 _UNTRUSTED_WEIGHT = 1
-# Weight of the spread over equal hosts by hash, in requests in progress.
+# Largest cost by which the hash of flow and host orders equal hosts, in requests
+# in progress.
 _SPREAD_WEIGHT = 0.1
 _SPREAD_STEPS = 256
 
@@ -47,7 +48,7 @@
         hosts: the hosts of its service.
         flow_hash: hash of the flow's key.
         data_centre: digest of the entry's own data centre.
-        now: time in seconds on the clock that counts suspension.
+        now: time in seconds, on a clock that runs on during suspension.
     """
     accepting = [host for host in hosts if not host.status.state]
     responsive = [host for host in accepting if now - host.last_seen < SILENT_S]
@@ -56,23 +57,24 @@
         for index, host in enumerate(responsive)
     ]
     scored.sort()
-    places = _add_random_candidates([place[-1] for place in scored], flow_hash)
-    best = [responsive[place] for place in places]
-    # Hosts whose sidecars are silent may be restarting; they come last.
+    chosen = _add_random_candidates([pair[-1] for pair in scored], flow_hash)
+    best = [responsive[position] for position in chosen]
+    # Hosts whose sidecars are silent may be restarting; they are used only if no
+    # other host accepts flows.
     return best or accepting[:MAX_CANDIDATES]
 
 
-def _add_random_candidates(places: list[int], flow_hash: int) -> list[int]:
-    """Keep the best places, and draw the others from all that are left.
+def _add_random_candidates(ranked: list[int], flow_hash: int) -> list[int]:
+    """Return the best of the ranked hosts and others drawn from the rest.
 
     Load pattern: all hosts are busy and statuses are up to 0.4 s old. By load
     alone every entry would name the same five hosts, whose queues grow while
     the others process late flows.
     """
-    chosen, left = places[:_RANKED_CANDIDATES], places[_RANKED_CANDIDATES:]
+    chosen, left = ranked[:_RANKED_CANDIDATES], ranked[_RANKED_CANDIDATES:]
     while left and len(chosen) < MAX_CANDIDATES:
-        flow_hash, place = divmod(flow_hash, len(left))
-        chosen.append(left.pop(place))
+        flow_hash, position = divmod(flow_hash, len(left))
+        chosen.append(left.pop(position))
     return chosen
 
 
@@ -96,14 +98,15 @@
     queueing = [
         host for host in hosts if host.ip == queued_at and not host.status.state
     ]
-    fresh = [host for host in ordered if host.ip not in tried]
-    others = [host for host in fresh or ordered if host.ip != queued_at]
+    untried = [host for host in ordered if host.ip not in tried]
+    others = [host for host in untried or ordered if host.ip != queued_at]
     return queueing + others
 
 
 def _score(host: TrackedHost, flow_hash: int, data_centre: int) -> float:
     status = host.status
     load = status.busy + host.pending + status.flows * _FLOW_WEIGHT
+    # As the factor is odd, addresses that differ in the last byte differ here.
     spread = (flow_hash ^ host.packed[3] * 0x9D) % _SPREAD_STEPS / _SPREAD_STEPS
     remote = _REMOTE_WEIGHT if status.data_centre != data_centre else 0
     unknown = 0 if status.trusted else _UNTRUSTED_WEIGHT
--- a/siskinbank/choice/rendezvous.py
+++ b/siskinbank/choice/rendezvous.py
@@ -21,7 +21,7 @@
     A host's score is ``-weight / ln(u)`` with ``u`` a hash of flow and host
     spread over (0, 1), after Schindelhauer and Schomaker, "Weighted
     distributed hash tables" (2005). The hash is a multiply-xorshift finalizer
-    on 64 bits, written out because this is the hot part of a first packet.
+    on 64 bits, written inline because it is on the hot path of first packets.
     """
     named = sorted(hosts, key=lambda host: host.name, reverse=True)
     seeds = [(host.seed, -host.weight, host) for host in named]
--- a/siskinbank/choice/router.py
+++ b/siskinbank/choice/router.py
@@ -46,11 +46,11 @@
 
     def ranks(self, service: Service) -> PoolRanks:
         """Return the rankings of a service."""
-        known = self._ranks.get(service.ident)
-        if known is None:
-            known = self._prepare(service, None)
-            self._ranks[service.ident] = known
-        return known
+        ranks = self._ranks.get(service.ident)
+        if ranks is None:
+            ranks = self._prepare(service, None)
+            self._ranks[service.ident] = ranks
+        return ranks
 
     def fresh(self, service: Service, flow: int) -> list[Host]:
         """Return the hosts to offer new work to, best first."""
@@ -61,7 +61,7 @@
         return self.ranks(service).known(flow)
 
     def allows(self, address: bytes, generation: int = 0) -> bool:
-        """Whether packets may go to the sidecar at a packed address.
+        """Return whether packets may go to the sidecar at a packed address.
 
         Args:
             address: the sidecar's packed address.
--- a/siskinbank/coordination/client.py
+++ b/siskinbank/coordination/client.py
@@ -1,7 +1,7 @@
-"""A small client that sends requests through the entries as documented.
+"""A small client that sends requests through the entries.
 
 It requests a ticket for work that may run only once, retries only where that
-is safe, and pauses between tries as the answers ask (Retry-After).
+is safe, and pauses between tries for the time in Retry-After headers.
 """
 
 import asyncio
@@ -192,7 +192,7 @@
         return self._clock() + pause < due and self._budget.take()
 
     async def _pause(self, outcome: NotRun | Unknown, due: float) -> None:
-        """Wait as the outcome asks, with jitter, until the deadline at most."""
+        """Wait for the Retry-After time and jitter, at most to the deadline."""
         pause = (outcome.retry_after or 0) + Backoff(rng=self._rng).next_pause()
         await asyncio.sleep(max(min(pause, due - self._clock()), 0))
 
@@ -201,7 +201,9 @@
 
         async def request(url: str) -> str | NotRun | Unknown:
             target = f'{url}{work.path}'
-            async with self._open().post(target, headers=headers) as answer:
+            async with self._open_session().post(
+                target, headers=headers
+            ) as answer:
                 if answer.status == _OK and TICKET_HEADER in answer.headers:
                     return answer.headers[TICKET_HEADER]
                 return _read_problem(answer, await answer.read())
@@ -243,7 +245,7 @@
         self,
         call: Callable[[str], Awaitable[ResultT]],
     ) -> ResultT | None:
-        """Call with the first entry that accepts a connection.
+        """Run a call with the URL of the first entry that is reachable.
 
         Returns:
             The result, or None if no entry is reachable.
@@ -271,7 +273,7 @@
         url: str,
         headers: Mapping[str, str],
     ) -> Outcome:
-        async with self._open().request(
+        async with self._open_session().request(
             work.method,
             f'{url}{work.path}',
             data=work.body or None,
@@ -284,7 +286,7 @@
                 return Reply(answer.status, answer.headers, body)
             return _read_problem(answer, body)
 
-    def _open(self) -> aiohttp.ClientSession:
+    def _open_session(self) -> aiohttp.ClientSession:
         if self._session is None:
             self._session = aiohttp.ClientSession(
                 timeout=aiohttp.ClientTimeout(total=None),
--- a/siskinbank/coordination/leases.py
+++ b/siskinbank/coordination/leases.py
@@ -14,9 +14,9 @@
 class Leases(Generic[KeyT, ValueT]):
     """Values that are valid until their leases end, at most ``capacity``.
 
-    Leases end without any timer, so a process that was suspended finds expired
-    values gone when it resumes. ``on_end`` is called for each expired lease,
-    when that is noticed.
+    Leases end without any timer, so values that expired while the process was
+    suspended are not returned after it resumes. ``on_end`` is called for each
+    expired lease when the table removes it.
     """
 
     def __init__(
--- a/siskinbank/coordination/ranking.py
+++ b/siskinbank/coordination/ranking.py
@@ -1,4 +1,4 @@
-"""Rank members for a key, the same on every machine without messages."""
+"""Rank members for a key; all machines agree without communication."""
 
 from collections.abc import Callable, Mapping
 
--- a/siskinbank/coordination/tickets.py
+++ b/siskinbank/coordination/tickets.py
@@ -25,7 +25,7 @@
     'parse_ticket',
 )
 
-#: Validity of a ticket.
+#: How long a ticket is valid after it was issued.
 TICKET_SECONDS = 60.0
 _MAX_TICKET_CHARACTERS = 200
 _SECRET_BYTES = 32
--- a/siskinbank/entry/attempts.py
+++ b/siskinbank/entry/attempts.py
@@ -24,8 +24,8 @@
 
 _RANDOM_BITS = 64
 _RETRY_AFTER_SECONDS = 1.0
-#: How long a host that refused a request at its limit gets no further ones;
-#: its queue keeps its slots busy for longer than that.
+#: How long a host that refused a request at its limit gets no further ones; the
+#: requests in its queue occupy its slots for longer than that.
 _AT_LIMIT_SECONDS = 0.03
 _RETRY_REASONS: dict[Doubt, Retry] = {
     Doubt.lost: Retry.lost,
@@ -52,7 +52,7 @@
     async def run(self, call: Call) -> Result:
         """Run a request and return its outcome.
 
-        An answer has been sent to the caller when this returns.
+        If the outcome is an answer, it has been sent to the caller already.
         """
         budget = self._budget(call.service)
         budget.note_fresh()
@@ -160,7 +160,7 @@
         budget: RetryBudget,
         backoff: Backoff,
     ) -> float | None:
-        """Return the seconds before a retry, or None to give up."""
+        """Return the seconds before a retry, or None if there is none."""
         pause = backoff.next_pause()
         if pause >= call.remaining:
             return None
--- a/siskinbank/entry/calls.py
+++ b/siskinbank/entry/calls.py
@@ -91,8 +91,9 @@
 class Call:
     """One caller's request and how it may be run; times are in seconds.
 
-    ``length`` is the body's size in bytes, -1 if the caller did not declare
-    it.
+    ``due`` is the deadline: of the end of the answer if ``bounded``, which
+    means that the caller set it, else of its start. ``length`` is the body's
+    size in bytes, -1 if the caller did not declare it.
     """
 
     request: web.BaseRequest
@@ -115,7 +116,7 @@
         return self.due - self.clock()
 
     def abort_connection(self) -> None:
-        """Abort the caller's connection, so that a cut answer looks cut."""
+        """Abort the connection, so that the caller detects a cut answer."""
         if self.request.transport is not None:
             self.request.transport.abort()
 
--- a/siskinbank/entry/exchanges.py
+++ b/siskinbank/entry/exchanges.py
@@ -30,10 +30,11 @@
 async def run_exchange(call: Call, link: RequestLink) -> Result:
     """Run one attempt.
 
-    An answer has been sent to the caller when this returns.
+    If the result is an answer, it has been sent to the caller already.
     """
     exchange = link.open()
-    # Numbers must reach the sidecar in order, so no await may come between.
+    # Numbers must reach the sidecar in order, so nothing may be awaited between
+    # these two calls.
     exchange.post(_request_head(exchange.number, call, link))
     sender = asyncio.create_task(_send_request_body(exchange, call))
     finished = False
@@ -83,7 +84,7 @@
     except LinkLostError as error:
         exchange.fail(error)
     except (OSError, web.RequestPayloadError) as error:
-        # The caller's body was cut: the upstream must not see it as whole.
+        # The caller's body was cut; it must not reach the upstream as complete.
         exchange.fail(LinkLostError(str(error)))
 
 
--- a/siskinbank/entry/flow_cache.py
+++ b/siskinbank/entry/flow_cache.py
@@ -59,7 +59,7 @@
         self.tried = (*self.tried, ip)
 
     def add_holder(self, ip: str, number: int, established: bool) -> None:
-        """Record that a sidecar reports its host to hold the flow.
+        """Record the report of a sidecar that its host holds the flow.
 
         Args:
             ip: the host.
--- a/siskinbank/entry/flow_searches.py
+++ b/siskinbank/entry/flow_searches.py
@@ -28,8 +28,8 @@
 # this, in seconds: three missed status updates. A request that may run only
 # once waits longer, as its answer may be ready: as long as a killed sidecar
 # takes to restart.
-_SILENT_REPEATABLE_S = 1.3
-_SILENT_ONCE_S = 3.0
+_MAX_SILENCE_IDEMPOTENT_S = 1.3
+_MAX_SILENCE_ONCE_S = 3.0
 # Missed status updates after which a sidecar with a longer interval counts as
 # silent.
 _MISSED_UPDATES = 3
@@ -45,7 +45,7 @@
 
     Attributes:
         started_at: start time in seconds.
-        first: the packet that is sent to the hosts.
+        first: the packet that started the search; it is sent to the hosts.
         absent: the hosts that don't hold the flow.
         queued_packets: packets of the flow queued since the start.
     """
@@ -172,9 +172,9 @@
 
     Args:
         silent_s: seconds since the last message from the host's sidecar.
-        repeatable: whether the flow's requests may run more than once.
+        idempotent: whether the flow's requests may run more than once.
         interval_s: the sidecar's usual interval between status updates in
             seconds; it is longer with many entries.
     """
-    limit_s = _SILENT_REPEATABLE_S if idempotent else _SILENT_ONCE_S
+    limit_s = _MAX_SILENCE_IDEMPOTENT_S if idempotent else _MAX_SILENCE_ONCE_S
     return silent_s < max(limit_s, interval_s * _MISSED_UPDATES)
--- a/siskinbank/entry/links.py
+++ b/siskinbank/entry/links.py
@@ -140,7 +140,7 @@
 
         The message was in transit for a while, so the sidecar's clock shows at
         least this time. The largest offset of the last minutes is the closest
-        estimate that never makes a deadline too late.
+        estimate with which no deadline is converted to a later one.
         """
         now = self._clock()
         if now - self._offset_since > _OFFSET_WINDOW_SECONDS:
@@ -254,7 +254,7 @@
     """The request links of a process, one for each sidecar in use."""
 
     def __init__(self, process: ProcessContext, streams: PeerStreams) -> None:
-        """Create without links; they run as tasks of ``process``."""
+        """Initialize without links; they run as tasks of ``process``."""
         self.streams = streams
         self._process = process
         self._links: dict[Address, RequestLink] = {}
--- a/siskinbank/entry/owner_searches.py
+++ b/siskinbank/entry/owner_searches.py
@@ -11,8 +11,8 @@
 #: The shortest retransmission timeout of a caller; an answer takes a few
 #: milliseconds.
 _ANSWER_TIMEOUT_SECONDS = 0.3
-#: How long a silent host is asked last before it gets its rank back.
-_SUSPECT_SECONDS = 5.0
+#: How long a silent host is asked last, before it is asked by rank again.
+_ASKED_LAST_SECONDS = 5.0
 
 
 @dataclass(slots=True)
@@ -23,7 +23,7 @@
 
 
 class OwnerSearches:
-    """Orders candidates, with hosts that don't answer last.
+    """Orders candidates so that silent hosts are asked last.
 
     A search goes on to the next candidate after a timeout. A host that leaves
     any search unanswered is asked last for all flows, so that a dead host
@@ -31,7 +31,7 @@
     """
 
     def __init__(self) -> None:
-        """Create without searches."""
+        """Initialize without searches."""
         self._open: dict[bytes, _OwnerSearch] = {}
         self._unanswered_since: dict[str, float] = {}
 
@@ -80,7 +80,7 @@
         now: float,
         ranked: Sequence[Host],
     ) -> _OwnerSearch:
-        """Advance to the next host unless the silent one is last already."""
+        """Advance to the next host, unless sorting moved the silent one."""
         position = search.position % len(ranked)
         if ranked[position].name == search.asked:
             position = (position + 1) % len(ranked)
@@ -97,7 +97,7 @@
         since = self._unanswered_since.get(host.name)
         if since is None:
             return False
-        if now - since > _SUSPECT_SECONDS:
+        if now - since > _ASKED_LAST_SECONDS:
             del self._unanswered_since[host.name]
             return False
         return now - since > _ANSWER_TIMEOUT_SECONDS
--- a/siskinbank/entry/route_cache.py
+++ b/siskinbank/entry/route_cache.py
@@ -11,7 +11,7 @@
 class Receiver:
     """A sidecar that packets may be sent to, shared by all routes to it.
 
-    ``generation`` is the newest one in which it announced to be an owner.
+    ``generation`` is the newest one that it sent when it announced a flow.
     """
 
     packed: bytes
--- a/siskinbank/entry/ticketing.py
+++ b/siskinbank/entry/ticketing.py
@@ -25,7 +25,11 @@
     context: EntryContext,
     call: Call,
 ) -> web.Response | NotRun:
-    """Ask one host after the other; issuing a ticket runs no request."""
+    """Return a response with a ticket, or a refusal if no host issues one.
+
+    Hosts are asked one after the other, which is safe because issuing a ticket
+    runs no request.
+    """
     flow = random.getrandbits(_RANDOM_BITS)
     for host in context.router.fresh(call.service, flow):
         issued = await _request_ticket(context, call, host)
--- a/siskinbank/ingress/fou.py
+++ b/siskinbank/ingress/fou.py
@@ -36,7 +36,7 @@
 
 
 class PacketIngress:
-    """Sends each packet to the sidecar that owns its flow, or by rank."""
+    """Sends packets to the owners of their flows, or to hosts by rank."""
 
     def __init__(self, context: EntryContext) -> None:
         """Initialize for all packet services of an entry."""
@@ -221,7 +221,7 @@
 def _service_ids(
     services: dict[tuple[bytes, int], Service],
 ) -> dict[tuple[bytes, int], int]:
-    return {ends: service.ident for ends, service in services.items()}
+    return {target: service.ident for target, service in services.items()}
 
 
 async def start_fou(
@@ -244,7 +244,7 @@
         )
 
     async def drain() -> None:
-        """Do nothing: no open work is held here."""
+        """Do nothing, as the entry holds no open work for packets."""
 
     return IngressHandle(drain)
 
--- a/siskinbank/ingress/http.py
+++ b/siskinbank/ingress/http.py
@@ -25,6 +25,8 @@
 _MAX_OPEN_CALLS = 4096
 _MAX_LINE_BYTES = 8 * 1024
 _KEEP_ALIVE_SECONDS = 75
+#: How long requests on open connections are accepted after the listener was
+#: closed.
 _LINGER_SECONDS = 1.0
 _RETRY_AFTER_SECONDS = 1.0
 _NEW_TICKET = 'new'
@@ -87,7 +89,7 @@
         return self._close_if_draining(problem_response(outcome))
 
     def _close_if_draining(self, response: web.Response) -> web.Response:
-        """Close the caller's connection after the response when draining."""
+        """When draining, mark the connection to be closed after a response."""
         if self.closing:
             response.force_close()
         return response
--- a/siskinbank/ingress/parse_log.py
+++ b/siskinbank/ingress/parse_log.py
@@ -1,4 +1,4 @@
-"""Count requests that the HTTP parser refuses instead of logging them."""
+"""Logger that only counts the requests refused by the HTTP parser."""
 
 import logging
 
--- a/tests/admission/test_arrivals.py
+++ b/tests/admission/test_arrivals.py
@@ -20,12 +20,12 @@
 
 def _accepting_host(busy: list[int], first: int) -> int:
     """Forward one flow along all hosts; return the one that accepts it."""
-    work = ProcessingTime()
+    processing = ProcessingTime()
     best: float | None = None
     best_host = first % len(busy)
     for step in range(len(busy)):
         host = (first + step) % len(busy)
-        wait = work.wait_s(busy[host], 2)
+        wait = processing.wait_s(busy[host], 2)
         left = step < len(busy) - 1
         where = queueing_decision(wait, LIMIT_S, best, left)
         if where != 'on':
@@ -39,7 +39,7 @@
     """Load pattern: a backlog after a power failure meets busy hosts."""
 
     def test_a_free_slot_is_taken(self) -> None:
-        """Whatever the waits elsewhere."""
+        """The waits at other hosts don't matter then."""
         self.assertEqual(queueing_decision(0, LIMIT_S, 0, True), 'here')
         self.assertEqual(queueing_decision(0, LIMIT_S, None, False), 'here')
 
@@ -48,13 +48,13 @@
         self.assertEqual(queueing_decision(0.01, LIMIT_S, None, True), 'on')
 
     def test_last_candidate_uses_the_shortest_wait(self) -> None:
-        """Its own wait, or that of an earlier candidate."""
+        """It may be its own wait or that of an earlier candidate."""
         self.assertEqual(queueing_decision(0.3, LIMIT_S, 0.1, False), 'back')
         self.assertEqual(queueing_decision(0.1, LIMIT_S, 0.3, False), 'here')
         self.assertEqual(queueing_decision(0.1, LIMIT_S, None, False), 'here')
 
     def test_refused_if_it_cannot_be_in_time(self) -> None:
-        """Only when the shortest wait is too long."""
+        """A flow is refused only when the shortest wait is too long."""
         self.assertEqual(
             queueing_decision(2.2, LIMIT_S, None, False), 'nowhere'
         )
@@ -78,13 +78,13 @@
     """The expected wait for a slot."""
 
     def test_expected_wait(self) -> None:
-        """None while a slot is free, then one share of processing time each."""
-        work = ProcessingTime()
+        """Zero with a free slot, then processing time / slots a request."""
+        processing = ProcessingTime()
         for _ in range(100):
-            work.note(0.1)
-        self.assertEqual(work.wait_s(1, 2), 0)
-        self.assertAlmostEqual(work.wait_s(2, 2), 0.05, places=3)
-        self.assertAlmostEqual(work.wait_s(21, 2), 1, places=3)
+            processing.note(0.1)
+        self.assertEqual(processing.wait_s(1, 2), 0)
+        self.assertAlmostEqual(processing.wait_s(2, 2), 0.05, places=3)
+        self.assertAlmostEqual(processing.wait_s(21, 2), 1, places=3)
 
 
 class TestQueueCapacity(unittest.TestCase):
@@ -92,15 +92,15 @@
 
     def test_learned_from_shed_requests(self) -> None:
         """Unbounded at first; the learned limit is raised gradually."""
-        room = QueueCapacity()
-        self.assertFalse(room.is_full(500, 100))
-        room.note_shed(12, 100)
-        self.assertTrue(room.is_full(12, 100.5))
-        self.assertFalse(room.is_full(11, 100.5))
-        self.assertFalse(room.is_full(12, 104))
+        capacity = QueueCapacity()
+        self.assertFalse(capacity.is_full(500, 100))
+        capacity.note_shed(12, 100)
+        self.assertTrue(capacity.is_full(12, 100.5))
+        self.assertFalse(capacity.is_full(11, 100.5))
+        self.assertFalse(capacity.is_full(12, 104))
 
     def test_full_hosts(self) -> None:
-        """A shorter wait elsewhere, or the client's next retransmission."""
+        """The flow goes to another host, or waits for a retransmission."""
         self.assertEqual(queueing_decision(None, LIMIT_S, None, True), 'on')
         self.assertEqual(queueing_decision(None, LIMIT_S, 0.2, False), 'back')
         self.assertEqual(
@@ -133,7 +133,7 @@
         self.assertFalse(host.is_paused(20))
 
     def test_an_accepted_flow_resets_the_pause(self) -> None:
-        """Including the growth of the pauses."""
+        """The next pause is short again, after two refusals."""
         host = RefusalBackoff()
         host.note_refusal(100)
         self.assertTrue(host.note_refusal(100))
@@ -143,7 +143,7 @@
         self.assertFalse(host.note_refusal(100.3))
 
     def test_callers_wait_for_starting_hosts(self) -> None:
-        """Unless no retransmission of their first packet is left."""
+        """They are refused if no retransmission of their packet is left."""
         starting = [reasons.DRAINING, reasons.REFUSING]
         self.assertFalse(no_host_is_final(starting, 0))
         self.assertTrue(no_host_is_final(starting, 2))
@@ -156,35 +156,35 @@
 
     def test_accepted_flows_count_until_their_request(self) -> None:
         """Replay: 30 first packets in one millisecond, then their requests."""
-        arriving = ExpectedRequests()
+        expected = ExpectedRequests()
         for number in range(30):
-            arriving.add(str(number).encode(), 100)
-        self.assertEqual(arriving.count(100.001), 30)
+            expected.add(str(number).encode(), 100)
+        self.assertEqual(expected.count(100.001), 30)
         for number in range(20):
-            arriving.note_request(str(number).encode(), 100.01)
-        self.assertEqual(arriving.count(100.01), 10)
-        self.assertEqual(arriving.count(100.4), 0)
+            expected.note_request(str(number).encode(), 100.01)
+        self.assertEqual(expected.count(100.01), 10)
+        self.assertEqual(expected.count(100.4), 0)
 
     def test_abandoned_flows_are_expected_briefly(self) -> None:
         """Replay: after requests that took 10 ms, 20 that never arrive."""
-        arriving = ExpectedRequests()
+        expected = ExpectedRequests()
         for step in range(50):
-            arriving.add(b'usual', 90 + step)
-            arriving.note_request(b'usual', 90.01 + step)
+            expected.add(b'usual', 90 + step)
+            expected.note_request(b'usual', 90.01 + step)
         for number in range(20):
-            arriving.add(str(number).encode(), 200)
-        self.assertEqual(arriving.count(200.02), 20)
-        self.assertEqual(arriving.count(200.05), 0)
+            expected.add(str(number).encode(), 200)
+        self.assertEqual(expected.count(200.02), 20)
+        self.assertEqual(expected.count(200.05), 0)
 
     def test_distant_clients_are_expected_longer(self) -> None:
-        """Up to a bound."""
-        arriving = ExpectedRequests()
+        """The time for which a request is expected has an upper bound."""
+        expected = ExpectedRequests()
         for step in range(100):
-            arriving.add(b'far', 90 + step)
-            arriving.note_request(b'far', 90.08 + step)
-        arriving.add(b'far', 200)
-        self.assertEqual(arriving.count(200.2), 1)
-        self.assertEqual(arriving.count(200.31), 0)
+            expected.add(b'far', 90 + step)
+            expected.note_request(b'far', 90.08 + step)
+        expected.add(b'far', 200)
+        self.assertEqual(expected.count(200.2), 1)
+        self.assertEqual(expected.count(200.31), 0)
 
 
 class TestColdLimit(unittest.TestCase):
@@ -212,7 +212,7 @@
     """Which refusals a caller gets, and when."""
 
     def test_only_brief_reasons_delay_the_refusal(self) -> None:
-        """Up to the last retransmission of the first packet."""
+        """They delay it up to the last retransmission of the first packet."""
         self.assertTrue(refusal_is_final(reasons.BUSY, 0))
         self.assertTrue(refusal_is_final(reasons.DRAINING, 0))
         self.assertFalse(refusal_is_final(reasons.COLD, 1))
--- a/tests/admission/test_balance.py
+++ b/tests/admission/test_balance.py
@@ -7,7 +7,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from siskinbank.admission.balance import MAX_AGE_SECONDS, PoolLoads
+from siskinbank.admission.balance import MAX_REPORT_AGE_SECONDS, PoolLoads
 from siskinbank.config.site import Host
 from siskinbank.kernel.clock import FakeClock
 from siskinbank.wire.packets import pack_address
@@ -46,7 +46,7 @@
         """Without fresh reports only the own limit applies."""
         known, clock = make_loads([1, 2, 3, 4, 5])
         self.assertLess(known.fair_load(100, 1), 100)
-        clock.advance(MAX_AGE_SECONDS + 1)
+        clock.advance(MAX_REPORT_AGE_SECONDS + 1)
         known.refresh()
         self.assertEqual(known.fair_load(100, 1), math.inf)
 
--- a/tests/admission/test_health_monitor.py
+++ b/tests/admission/test_health_monitor.py
@@ -21,7 +21,7 @@
     return LoadReport(Health.good, str(incarnation), uptime)
 
 
-class TestJudge(unittest.TestCase):
+class TestHealthMonitor(unittest.TestCase):
     """Verdicts from answers and reports."""
 
     def setUp(self) -> None:
@@ -98,7 +98,7 @@
         """Claims that good answers contradict count three times at most."""
         for name, reported in (
             ('hangs', [SILENT]),
-            ('says bad', [BAD]),
+            ('reports bad', [BAD]),
             ('flaps', [report(2), report(1)]),
         ):
             with self.subTest(name):
--- a/tests/admission/test_pending_queue.py
+++ b/tests/admission/test_pending_queue.py
@@ -12,12 +12,12 @@
 
 OPENING = Opening(b'', b'')
 TARGET_S = 0.25
-# A cold host: the usual processing time of the heaviest service that users
-# run, times 1.6.
+# Processing time at a cold host in seconds: 1.6 times the usual one of the
+# heaviest service that users run.
 WORK_S = 0.038
 # New requests for one slot, a second: a little over half of its capacity.
 RATE = 15
-# Half more than the capacity of a slot.
+# The same with 1.5 times the capacity of a slot.
 OVERLOAD_RATE = 39
 BACKLOG = 20
 # Serves in order of arrival, as every flow is late.
@@ -28,13 +28,13 @@
 
 def backlog(target_latency_s: float) -> PendingQueue:
     """Return a queue with first packets retransmitted at the same time."""
-    room = PendingQueue()
+    queue = PendingQueue()
     for number in range(BACKLOG):
         sent = -sent_ago_s(1 + number % 2)
-        room.enqueue(
+        queue.enqueue(
             b'old%d' % number, QueuedOpening(OPENING, 0, sent, target_latency_s)
         )
-    return room
+    return queue
 
 
 def new_requests(rng: random.Random, rate: float) -> list[float]:
@@ -47,7 +47,7 @@
     """Replay a host with one slot after a power failure of 1.5 s.
 
     Args:
-        aim_s: target latency of the clients that the queue assumes, in
+        target_latency_s: target latency that the queue assumes, in
             seconds.
         rate: new requests a second.
 
@@ -55,7 +55,7 @@
         The share of the requests sent afterwards that were in time.
     """
     rng = random.Random(7)
-    room = backlog(target_latency_s)
+    queue = backlog(target_latency_s)
     sent_times = new_requests(rng, rate)
     pending = list(sent_times)
     free_at = 0
@@ -64,11 +64,11 @@
         now = step * STEP_S
         while pending and pending[0] <= now:
             sent = pending.pop(0)
-            room.enqueue(
+            queue.enqueue(
                 b'new%d' % step,
                 QueuedOpening(OPENING, now, sent, target_latency_s),
             )
-        found = room.next(now, WORK_S, 1) if now >= free_at else None
+        found = queue.next(now, WORK_S, 1) if now >= free_at else None
         if found:
             free_at = now + rng.uniform(0.5, 1.5) * WORK_S
             in_time += found[1].sent >= 0 and free_at - found[1].sent < TARGET_S
@@ -79,73 +79,73 @@
     """Load pattern: a backlog after a power failure, and new requests."""
 
     def test_new_requests_are_in_time_at_once(self) -> None:
-        """Replay: in order of arrival, most of two seconds were late."""
+        """Replay: in order of arrival, most requests of 2 s were late."""
         self.assertGreater(replay(TARGET_S), 0.95)
         self.assertLess(replay(NO_TARGET_S), 0.75)
 
     def test_too_many_new_requests(self) -> None:
-        """Replay: half more than the capacity; what is served is in time."""
+        """Replay: 1.5 times the capacity; most served requests are in time."""
         capacity = 1 / WORK_S / OVERLOAD_RATE
         self.assertGreater(replay(TARGET_S, OVERLOAD_RATE), 0.85 * capacity)
 
     def test_the_newest_of_many_goes_first(self) -> None:
-        """Of those that can be in time; a few keep their order."""
-        room = PendingQueue()
+        """Only among those that can be in time; a few keep their order."""
+        queue = PendingQueue()
         for key, sent in ((b'a', 99.97), (b'b', 99.98), (b'c', 99.99)):
-            room.enqueue(key, QueuedOpening(OPENING, 100, sent, TARGET_S))
+            queue.enqueue(key, QueuedOpening(OPENING, 100, sent, TARGET_S))
         order = []
-        while found := room.next(100, WORK_S, 1):
+        while found := queue.next(100, WORK_S, 1):
             order.append(found[0])
         self.assertEqual(order, [b'c', b'a', b'b'])
 
     def test_late_flows_get_the_slots_that_are_left(self) -> None:
-        """In their order, after those that can be in time."""
-        room = PendingQueue()
+        """They go in order of arrival, after those that can be in time."""
+        queue = PendingQueue()
         for key, sent in ((b'a', 99.4), (b'b', 99.8), (b'c', 99.99)):
-            room.enqueue(key, QueuedOpening(OPENING, 100, sent, TARGET_S))
+            queue.enqueue(key, QueuedOpening(OPENING, 100, sent, TARGET_S))
         order = []
-        while found := room.next(100, WORK_S, 1):
+        while found := queue.next(100, WORK_S, 1):
             order.append(found[0])
         self.assertEqual(order, [b'c', b'a', b'b'])
 
     def test_one_request_waits_at_the_host(self) -> None:
         """One is ready when a slot becomes free; there is no second one."""
-        room = PendingQueue()
+        queue = PendingQueue()
         for key, sent in ((b'a', 99.4), (b'b', 99.99)):
-            room.enqueue(key, QueuedOpening(OPENING, 100, sent, TARGET_S))
-        self.assertIsNone(room.next(100, WORK_S, -1))
-        found = room.next(100, WORK_S, 0)
+            queue.enqueue(key, QueuedOpening(OPENING, 100, sent, TARGET_S))
+        self.assertIsNone(queue.next(100, WORK_S, -1))
+        found = queue.next(100, WORK_S, 0)
         self.assertEqual(found and found[0], b'b')
-        self.assertIsNone(room.next(100, WORK_S, -1))
-        found = room.next(100, WORK_S, 0)
+        self.assertIsNone(queue.next(100, WORK_S, -1))
+        found = queue.next(100, WORK_S, 0)
         self.assertEqual(found and found[0], b'a')
 
     def test_count_ahead_of_a_new_flow(self) -> None:
-        """All, unless it can be in time."""
-        room = PendingQueue()
-        room.enqueue(b'a', QueuedOpening(OPENING, 100, 99.4, TARGET_S))
-        room.enqueue(b'b', QueuedOpening(OPENING, 100, 100, TARGET_S))
+        """A late flow goes after all; others only after those in time."""
+        queue = PendingQueue()
+        queue.enqueue(b'a', QueuedOpening(OPENING, 100, 99.4, TARGET_S))
+        queue.enqueue(b'b', QueuedOpening(OPENING, 100, 100, TARGET_S))
         new = QueuedOpening(OPENING, 100, 100, TARGET_S)
         late = QueuedOpening(OPENING, 100, 99.4, TARGET_S)
-        self.assertEqual(room.ahead_of(new, 100, WORK_S), 1)
-        self.assertEqual(room.ahead_of(late, 100, WORK_S), 2)
+        self.assertEqual(queue.ahead_of(new, 100, WORK_S), 1)
+        self.assertEqual(queue.ahead_of(late, 100, WORK_S), 2)
 
     def test_abandoned_flows_are_removed(self) -> None:
-        """The host would open them for no client."""
-        room = PendingQueue()
-        room.enqueue(b'a', QueuedOpening(OPENING, 100, 99.4, TARGET_S))
-        room.enqueue(b'b', QueuedOpening(OPENING, 100, 100, TARGET_S))
-        gone = room.remove_abandoned(101)
+        """Their clients would no longer answer the host."""
+        queue = PendingQueue()
+        queue.enqueue(b'a', QueuedOpening(OPENING, 100, 99.4, TARGET_S))
+        queue.enqueue(b'b', QueuedOpening(OPENING, 100, 100, TARGET_S))
+        gone = queue.remove_abandoned(101)
         self.assertEqual([key for key, _ in gone], [b'a'])
-        self.assertEqual(len(room), 1)
+        self.assertEqual(len(queue), 1)
 
     def test_capacity(self) -> None:
-        """Above some hundreds the queue is full."""
-        room = PendingQueue()
-        while not room.full:
-            room.enqueue(
-                b'%d' % len(room), QueuedOpening(OPENING, 0, 0, TARGET_S)
+        """The queue holds some hundreds of packets."""
+        queue = PendingQueue()
+        while not queue.full:
+            queue.enqueue(
+                b'%d' % len(queue), QueuedOpening(OPENING, 0, 0, TARGET_S)
             )
-        self.assertLessEqual(len(room), 1000)
-        self.assertEqual(len(room.clear()), 256)
-        self.assertFalse(room.full)
+        self.assertLessEqual(len(queue), 1000)
+        self.assertEqual(len(queue.clear()), 256)
+        self.assertFalse(queue.full)
--- a/tests/choice/test_placement.py
+++ b/tests/choice/test_placement.py
@@ -37,7 +37,7 @@
         self.assertEqual(found, ['2', '1', '3'])
 
     def test_the_own_data_centre_comes_first_at_equal_load(self) -> None:
-        """But a remote host with much less load comes first."""
+        """A remote host with much less load comes before a local one."""
         remote = make_host(1, data_centre=2)
         for busy, first in ((0, '2'), (1, '1')):
             hosts = [remote, make_host(2, busy=busy)]
@@ -46,7 +46,7 @@
             )
 
     def test_untrusted_hosts_are_no_worse_than_busy_ones(self) -> None:
-        """Load pattern: entries of a data centre expired during a partition."""
+        """Load pattern: store records expired in a network partition."""
         unknown = make_host(1, trusted=False)
         for busy, first in ((0, '2'), (2, '1')):
             hosts = [unknown, make_host(2, busy=busy)]
@@ -104,7 +104,7 @@
     """Load pattern: retransmitted first packets while all hosts are busy."""
 
     def test_retransmissions_follow_the_queued_flow(self) -> None:
-        """Even if others have less load, but not if the host is leaving."""
+        """Less loaded hosts come after it, unless the host is leaving."""
         hosts = [make_host(1), make_host(2), make_host(3, busy=9)]
         ordered = hosts[:2]
         found = candidates(hosts, ordered, ('10.0.0.1',), '10.0.0.3')
--- a/tests/coordination/test_retries.py
+++ b/tests/coordination/test_retries.py
@@ -7,7 +7,7 @@
 from siskinbank.coordination.budget import RetryBudget
 from siskinbank.kernel.clock import FakeClock
 
-FRESH = 1000
+NEW_REQUESTS = 1000
 
 
 class TestBackoff(unittest.TestCase):
@@ -33,11 +33,11 @@
         """If every request fails, a tenth as many are retried."""
         budget = RetryBudget(FakeClock())
         taken = 0
-        for _ in range(FRESH):
+        for _ in range(NEW_REQUESTS):
             budget.note_fresh()
             taken += budget.take()
-        self.assertLessEqual(taken, FRESH * 0.1 + 1)
-        self.assertGreaterEqual(taken, FRESH * 0.1 - 1)
+        self.assertLessEqual(taken, NEW_REQUESTS * 0.1 + 1)
+        self.assertGreaterEqual(taken, NEW_REQUESTS * 0.1 - 1)
 
     def test_floor_and_burst(self) -> None:
         """Rare requests get tokens over time, up to the burst limit."""
--- a/tests/entry/test_flow_cache.py
+++ b/tests/entry/test_flow_cache.py
@@ -33,7 +33,7 @@
         self.assertEqual(flow.ip, 'b')
 
     def test_established_host_before_sequence_numbers(self) -> None:
-        """A restarted sidecar knows no number, but that its host has worked."""
+        """A restarted sidecar reports no number, only an established flow."""
         for reports in (('a', 'b'), ('b', 'a')):
             flow = CachedFlow('a', 0)
             for ip in reports:
--- a/tests/entry/test_route_cache.py
+++ b/tests/entry/test_route_cache.py
@@ -13,7 +13,7 @@
     return Route(Receiver(b'', ('10.0.0.1', 1), 1), b'')
 
 
-OWNED = _route()
+USED_ROUTE = _route()
 
 
 class TestRouteCache(unittest.TestCase):
@@ -29,8 +29,8 @@
     def test_used_flows_are_not_evicted(self) -> None:
         """A flow that is used again stays longer than unused ones."""
         cache = RouteCache(100)
-        cache.put(b'kept', OWNED)
+        cache.put(b'kept', USED_ROUTE)
         for flow in range(1000):
             cache.put(_flow(flow), _route())
-            self.assertEqual(cache.get(b'kept'), OWNED)
+            self.assertEqual(cache.get(b'kept'), USED_ROUTE)
         self.assertIsNone(cache.get(_flow(0)))
--- a/tests/ingress/test_http.py
+++ b/tests/ingress/test_http.py
@@ -100,7 +100,7 @@
             self.assertEqual(len(await reading.read()), LARGE)
 
     async def test_cut_answer_cuts_connection(self) -> None:
-        """The caller's connection is aborted, so that no answer looks whole."""
+        """The connection is aborted, so that the caller detects the cut."""
         async with running_rig(entries=1, hosts=1) as rig:
             host = rig.hosts['matcher-1']
             host.upstream.behaviour = Behaviour.cut
@@ -128,7 +128,7 @@
         await wait_until(lambda: host.upstream.cancelled)
 
     async def test_deadline_reaches_the_upstream(self) -> None:
-        """The remaining time is passed on and ends a run that hangs."""
+        """The remaining time is forwarded and ends a run that hangs."""
         async with running_rig(entries=1, hosts=1) as rig:
             host = rig.hosts['matcher-1']
             host.upstream.behaviour = Behaviour.hang
--- a/tests/request_case.py
+++ b/tests/request_case.py
@@ -54,7 +54,10 @@
         deadline: float = 4,
         **headers: str,
     ) -> Answer:
-        """Return outcome and body; ``lost`` if the connection was cut."""
+        """Send a request; return its outcome and body.
+
+        The outcome is ``lost`` if the connection was cut.
+        """
         given = {DEADLINE_HEADER: str(deadline)}
         if key:
             given[KEY_HEADER] = key
