--- a/siskinbank/directory/client.py
+++ b/siskinbank/directory/client.py
@@ -33,17 +33,17 @@
     """A read-only client of the platform.
 
     Attributes:
-        list_octets: Size in bytes of the last transfer of the live list; 0 if
+        list_transfer_bytes: Size of the last transfer of the live list; 0 if
             the list was unchanged.
     """
 
     def __init__(self, url: str) -> None:
-        """Initialize with the URL of the service; connects at the first read."""
+        """Initialize with the service's URL; connects at the first read."""
         self._url = url.rstrip('/')
         self._session: aiohttp.ClientSession | None = None
         self._instances: list[Instance] | None = None
         self._list_tag = ''
-        self.list_octets = 0
+        self.list_transfer_bytes = 0
 
     async def manifest(self) -> Manifest:
         """Return the published generation and digests.
@@ -82,7 +82,7 @@
         """
         raw = await self._get(_LIST_PATH, tag=self._list_tag)
         if raw is None and self._instances is not None:
-            self.list_octets = 0
+            self.list_transfer_bytes = 0
             return self._instances
         try:
             self._instances = parse_instances(raw or b'')
@@ -129,7 +129,7 @@
     ) -> None:
         """Store the list's entity tag and transfer size."""
         self._list_tag = response.headers.get('ETag', '')
-        self.list_octets = response.content_length or len(raw)
+        self.list_transfer_bytes = response.content_length or len(raw)
 
 
 async def _read_bounded(content: aiohttp.StreamReader) -> bytes:
--- a/siskinbank/directory/failure_detection.py
+++ b/siskinbank/directory/failure_detection.py
@@ -23,10 +23,10 @@
 ) -> frozenset[str]:
     """Return the instances that are gone.
 
-    An instance is silent if a neighbour on its ring has reported it and it
-    has not refuted the report, or if no process receives anything from its
-    whole data centre. An instance is never gone because of the live list
-    alone.
+    An instance is silent if a process that monitors it on the ring has reported
+    this and the instance has not refuted the report, or if no process receives
+    anything from its whole data centre. An instance is never gone because of
+    the live list alone.
     """
     gone = [
         name
--- a/siskinbank/directory/follower.py
+++ b/siskinbank/directory/follower.py
@@ -49,9 +49,9 @@
         self._list_reader = ListReader(lambda: gossip.now)
         self._rng = random.Random()
         self._reading = False
-        self._unlisted = False
+        self._bootstrapping = False
         self._omissions_held = False
-        self._platform_lost = False
+        self._platform_unreachable = False
 
     async def run(self) -> None:
         """Join the fleet, then follow the platform until cancelled."""
@@ -94,7 +94,7 @@
         if reading and not self._reading:
             self._log.write(events.READING, rank=rank)
         self._reading = reading
-        self._unlisted = rank is None and not self._has_configuration()
+        self._bootstrapping = rank is None and not self._has_configuration()
         return read_interval(
             rank,
             gossip.read_age,
@@ -110,7 +110,7 @@
         """
         while True:
             interval = self._interval()
-            if interval is not None and (self._reading or self._unlisted):
+            if interval is not None and (self._reading or self._bootstrapping):
                 return interval
             await asyncio.sleep(interval or _RANK_CHECK_SECONDS)
             if interval is not None and self._interval() is not None:
@@ -154,7 +154,7 @@
             if await self._read_list():
                 backoff.reset()
                 transfer_seconds = (
-                    self._client.list_octets / _LIST_BYTES_PER_SECOND
+                    self._client.list_transfer_bytes / _LIST_BYTES_PER_SECOND
                 )
                 min_interval = max(READERS * READ_SECONDS, transfer_seconds)
                 await asyncio.sleep(min_interval * self._rng.uniform(0.8, 1.2))
@@ -178,11 +178,11 @@
         return True
 
     def _note_success(self) -> None:
-        self._platform_lost = False
+        self._platform_unreachable = False
         self._gossip.note_read()
 
     def _note_failure(self, error: PlatformError) -> None:
         """Log the first of several consecutive failures."""
-        if not self._platform_lost:
+        if not self._platform_unreachable:
             self._log.write(events.PLATFORM_UNREACHABLE, error=error)
-        self._platform_lost = True
+        self._platform_unreachable = True
--- a/siskinbank/directory/listing.py
+++ b/siskinbank/directory/listing.py
@@ -11,9 +11,9 @@
 from collections.abc import Sequence
 from dataclasses import replace
 
-from siskinbank.kernel.clock import Clock
 from siskinbank.directory.live import Instance
 from siskinbank.directory.roster import Listing, Record, Roster, record_of
+from siskinbank.kernel.clock import Clock
 
 __all__ = ('ListReader',)
 
@@ -60,7 +60,8 @@
                 listing=Listing.absent,
             )
         updates = [
-            self._update_of(line, roster, now) for line in listed.values()
+            self._update_of(listed_record, roster, now)
+            for listed_record in listed.values()
         ]
         self._last_read = listed
         pending = bool(self._differs_since) or self.held
--- a/siskinbank/directory/live.py
+++ b/siskinbank/directory/live.py
@@ -1,4 +1,4 @@
-"""The platform's live list of instances; it may lag behind reality."""
+"""The platform's live list of instances; it may be out of date."""
 
 import enum
 from dataclasses import dataclass
--- a/siskinbank/directory/member_status.py
+++ b/siskinbank/directory/member_status.py
@@ -18,7 +18,7 @@
     'parse_member_status',
 )
 
-_MAX_EPOCH = 1 << 48
+_EPOCH_LIMIT = 1 << 48
 _FIELDS = 3
 
 
@@ -49,7 +49,7 @@
     if not isinstance(parts, list) or len(parts) != _FIELDS:
         return None
     epoch, state, name = parts
-    if not is_number_below(epoch, _MAX_EPOCH) or not is_valid_name(name):
+    if not is_number_below(epoch, _EPOCH_LIMIT) or not is_valid_name(name):
         return None
     if not is_number_below(state, MemberState.silent + 1):
         return None
--- a/siskinbank/directory/roster.py
+++ b/siskinbank/directory/roster.py
@@ -59,12 +59,12 @@
     name: str
     role: str
     data_centre: str
-    packed: bytes
+    packed_address: bytes
 
     @property
     def address(self) -> Address:
-        """The address at which other siskinbank processes reach the instance."""
-        return unpack_address(self.packed)
+        """The address at which siskinbank processes reach the instance."""
+        return unpack_address(self.packed_address)
 
     @property
     def parts(self) -> list[Any]:
@@ -75,17 +75,17 @@
             self.name,
             self.role,
             self.data_centre,
-            self.packed,
+            self.packed_address,
         ]
 
     @property
     def content(self) -> tuple[int, str, str, bytes]:
         """The listed fields, without version and name."""
-        return self.listing, self.role, self.data_centre, self.packed
+        return self.listing, self.role, self.data_centre, self.packed_address
 
     @property
     def instance(self) -> Instance:
-        """The record as an entry of the live list."""
+        """The record as an instance of the live list."""
         leaving = self.listing == Listing.leaving
         return Instance(
             self.name,
@@ -113,7 +113,7 @@
     """Parse a record of a message; return None if it is malformed."""
     if not isinstance(parts, list) or len(parts) != _FIELDS:
         return None
-    version, listing, name, role, centre, packed = parts
+    version, listing, name, role, centre, packed_address = parts
     if not (
         is_number_below(version, _VERSION_LIMIT) and is_number_below(listing, 3)
     ):
@@ -124,9 +124,12 @@
         return None
     if role not in _ROLES:
         return None
-    if not isinstance(packed, bytes) or len(packed) != _PACKED_ADDRESS_BYTES:
+    if (
+        not isinstance(packed_address, bytes)
+        or len(packed_address) != _PACKED_ADDRESS_BYTES
+    ):
         return None
-    return Record(version, listing, name, str(role), centre, packed)
+    return Record(version, listing, name, str(role), centre, packed_address)
 
 
 @dataclass(frozen=True)
@@ -211,7 +214,7 @@
 
     def get(self, name: str) -> Record | None:
         """Return the record of an instance."""
-        return self._buckets[bucket_of(name)].records.get(name)
+        return self._buckets[bucket_index_of(name)].records.get(name)
 
     def bucket(self, index: int) -> list[Record]:
         """Return the records of one bucket."""
@@ -247,10 +250,10 @@
     @functools.lru_cache(maxsize=4)  # noqa: B019
     def index(self) -> RosterIndex:
         """Return the index; cached for the last few rosters."""
-        ordered = tuple(sorted(self, key=_ring_position))
+        ordered = tuple(sorted(self, key=_record_ring_key))
         rings: dict[str, list[Record]] = {}
-        for placed in ordered:
-            rings.setdefault(placed.data_centre, []).append(placed)
+        for ring_record in ordered:
+            rings.setdefault(ring_record.data_centre, []).append(ring_record)
         frozen = {name: tuple(ring) for name, ring in rings.items()}
         leaving = frozenset(
             record.name
@@ -263,7 +266,7 @@
         """Return a roster with replaced records; None removes a record."""
         changed: dict[int, dict[str, Record]] = {}
         for name, record in records.items():
-            index = bucket_of(name)
+            index = bucket_index_of(name)
             if index not in changed:
                 changed[index] = dict(self._buckets[index].records)
             if record is None:
@@ -278,14 +281,14 @@
 
 @functools.lru_cache(maxsize=8192)
 def ring_key(name: str) -> int:
-    """Return an instance's position on the ring of its data centre."""
+    """Return the hash that orders an instance on its data centre's ring."""
     return digest64(name)
 
 
-def _ring_position(record: Record) -> int:
+def _record_ring_key(record: Record) -> int:
     return ring_key(record.name)
 
 
-def bucket_of(name: str) -> int:
+def bucket_index_of(name: str) -> int:
     """Return the index of the bucket of an instance's record."""
     return ring_key(name) % BUCKETS
--- a/siskinbank/directory/store.py
+++ b/siskinbank/directory/store.py
@@ -25,13 +25,13 @@
 from siskinbank.kernel.reasons import Ignored
 from siskinbank.util import hex_digest
 
-__all__ = ('NOTHING', 'DocumentStore', 'Judge', 'judge_document')
+__all__ = ('NO_DOCUMENT', 'DocumentStore', 'Judge', 'judge_document')
 
 MAX_VALUE_BYTES = 1024 * 1024
 _COMPRESSION_LEVEL = 6
 
 #: The key when there is no document.
-NOTHING: DocumentKey = (0, b'')
+NO_DOCUMENT: DocumentKey = (0, b'')
 
 #: Returns the bytes of a section by its name.
 ReadSection = Callable[[str], bytes]
@@ -73,10 +73,10 @@
         self._blobs: dict[bytes, bytes] = {}
         self._manifests: dict[bytes, Manifest] = {}
         self._logged_conflicts: set[int] = set()
-        self._last_older: DocumentKey = NOTHING
-        self.in_force: DocumentKey = NOTHING
-        self.refused: DocumentKey = NOTHING
-        self.floor: DocumentKey = NOTHING
+        self._last_older: DocumentKey = NO_DOCUMENT
+        self.in_force: DocumentKey = NO_DOCUMENT
+        self.refused: DocumentKey = NO_DOCUMENT
+        self.floor: DocumentKey = NO_DOCUMENT
         self.findings: list[str] = []
 
     def blob(self, digest: bytes) -> bytes | None:
@@ -115,14 +115,14 @@
         return key[0] > 0
 
     def raise_floor(self, key: DocumentKey) -> None:
-        """Ignore documents with a lower key than a peer has in force."""
+        """Ignore documents below ``key``, which a peer has in force."""
         self.floor = max(self.floor, key)
 
     def missing(self, key: DocumentKey) -> list[bytes]:
         """Return the digests that a document still lacks.
 
         Raises:
-            ValueError: The blob with this digest is no manifest of the document.
+            ValueError: The blob is not the manifest of this document.
         """
         manifest = self._manifest(key)
         if manifest is None:
@@ -207,19 +207,19 @@
         return manifest
 
     def _prune(self) -> None:
-        """Remove blobs that neither the document in force nor the refused uses."""
-        kept = {self.in_force[1], self.refused[1]}
+        """Remove blobs that the documents in force and refused do not use."""
+        used_digests = {self.in_force[1], self.refused[1]}
         self._manifests = {
             digest: manifest
             for digest, manifest in self._manifests.items()
-            if digest in kept
+            if digest in used_digests
         }
         for manifest in self._manifests.values():
-            kept.update(map(bytes.fromhex, manifest.sections.values()))
+            used_digests.update(map(bytes.fromhex, manifest.sections.values()))
         self._blobs = {
             digest: blob
             for digest, blob in self._blobs.items()
-            if digest in kept
+            if digest in used_digests
         }
 
 
--- a/siskinbank/directory/view.py
+++ b/siskinbank/directory/view.py
@@ -45,7 +45,7 @@
 
     @property
     def list_age(self) -> float | None:
-        """Seconds since the view is known to have been up to date."""
+        """Seconds since the view was last known to be up to date."""
         if self._age_source is not None:
             return self._age_source()
         if self._listed_at is None:
--- a/siskinbank/peers/ages.py
+++ b/siskinbank/peers/ages.py
@@ -15,6 +15,8 @@
 #: The age sent for "never": about eleven days.
 _MAX_AGE_MILLISECONDS = 1_000_000_000
 _AGE_LIMIT = _MAX_AGE_MILLISECONDS + 1
+#: A data centre that was last seen longer ago counts as never seen. Less than
+#: the age sent for "never".
 _MAX_SILENT_SECONDS = 500_000
 
 
@@ -51,7 +53,8 @@
     def silent_for(self, centre: str, now: float) -> float | None:
         """Return the seconds since a data centre was last seen.
 
-        None if that is not known. Messages that peers received count too.
+        None if that is not known. Messages that were received by peers count
+        too.
         """
         times = self._centres.get(centre)
         if times is None or now - times.received > _MAX_SILENT_SECONDS:
@@ -59,7 +62,7 @@
         return now - times.received
 
     def read_age(self, centre: str, now: float) -> float:
-        """Return the seconds since a data centre's readers got an answer."""
+        """Return the seconds since a data centre last reached the platform."""
         times = self._centres.get(centre)
         if times is None:
             return now - _NEVER_SECONDS
--- a/siskinbank/peers/connect.py
+++ b/siskinbank/peers/connect.py
@@ -17,7 +17,7 @@
 
 __all__ = ('PeerStreams',)
 
-_HANDSHAKE_SECONDS = 5
+_HANDSHAKE_TIMEOUT_SECONDS = 5
 
 
 class PeerStreams:
@@ -68,13 +68,13 @@
     def _client_options(self) -> dict[str, Any]:
         return {
             'ssl': self._security.client,
-            'ssl_handshake_timeout': _HANDSHAKE_SECONDS,
+            'ssl_handshake_timeout': _HANDSHAKE_TIMEOUT_SECONDS,
         }
 
     def _server_options(self) -> dict[str, Any]:
         return {
             'ssl': self._security.server(),
-            'ssl_handshake_timeout': _HANDSHAKE_SECONDS,
+            'ssl_handshake_timeout': _HANDSHAKE_TIMEOUT_SECONDS,
         }
 
     def _note_refusal(self, reason: str) -> None:
--- a/siskinbank/peers/datagrams.py
+++ b/siskinbank/peers/datagrams.py
@@ -69,8 +69,10 @@
         """Initialize an unbound socket; handlers are set before ``open``.
 
         ``on_message`` receives the messages of classes without a subscriber.
-        ``take_body`` may handle the body of an envelope itself and then
-        returns True; all others are decoded and passed to ``on_envelope``.
+        ``handle_body`` receives the body of each envelope and returns whether
+        it has handled it. If not, the envelope is decoded and passed to
+        ``on_envelope``. ``on_unkeyed`` is called for each datagram that no key
+        opens.
 
         Args:
             keys: The keys that seal and open datagrams.
@@ -85,16 +87,20 @@
         self.on_envelope: EnvelopeHandler = _ignore
         self.on_message: MessageHandler = _ignore
         self.on_unkeyed: Callable[[], None] = _ignore_unkeyed
-        self.handle_body: Callable[[bytes], bool] = _leave_to_default
+        self.handle_body: Callable[[bytes], bool] = _handle_no_body
 
-    def subscribe(self, kind: type[Message], handler: MessageHandler) -> None:
+    def subscribe(
+        self, message_class: type[Message], handler: MessageHandler
+    ) -> None:
         """Pass messages of one class to ``handler``.
 
         Raises:
             ValueError: The class already has a subscriber.
         """
-        if self._subscribers.setdefault(kind, handler) is not handler:
-            raise ValueError(f'{kind.__name__} already has a subscriber')
+        if self._subscribers.setdefault(message_class, handler) is not handler:
+            raise ValueError(
+                f'{message_class.__name__} already has a subscriber'
+            )
 
     async def open(self, address: Address) -> None:
         """Bind to ``address``."""
@@ -172,5 +178,5 @@
     """Default of ``on_unkeyed``."""
 
 
-def _leave_to_default(_body: bytes) -> bool:
+def _handle_no_body(_body: bytes) -> bool:
     return False
--- a/siskinbank/peers/document_fetch.py
+++ b/siskinbank/peers/document_fetch.py
@@ -10,7 +10,7 @@
 from siskinbank.kernel.metrics import Metrics
 from siskinbank.peers.rate import TokenBucket
 from siskinbank.peers.timing import TimerSource
-from siskinbank.peers.transfer import PieceCollector, Send, serve_ask
+from siskinbank.peers.transfer import PieceCollector, Send, send_pieces
 from siskinbank.wire.gossip import Piece, PieceRequest
 
 __all__ = ('DocumentFetch',)
@@ -58,16 +58,17 @@
         self._fetch_scheduled = False
         self.on_complete: Callable[[DocumentKey], object] = _ignore
 
-    def consider(self, key: DocumentKey, sender: Address) -> None:
+    def fetch_newer(self, key: DocumentKey, sender: Address) -> None:
         """Fetch a document that a peer has in force, if it is newer."""
         store = self._store
         if key[0] and key > store.in_force and key != store.refused:
             store.raise_floor(key)
             self._add_source(key, sender)
         elif key[0] == store.in_force[0]:
+            # Counts and logs a different document of the same generation.
             store.wants(key)
 
-    def consider_refused(self, refused: list[object], sender: Address) -> None:
+    def fetch_refused(self, refused: list[object], sender: Address) -> None:
         """Fetch a document that a peer has refused, to check it here too."""
         if len(refused) != 2:
             return
@@ -78,10 +79,10 @@
         if generation and key > max(self._store.in_force, self._store.refused):
             self._add_source(key, sender)
 
-    def receive_ask(self, request: PieceRequest, sender: Address) -> None:
-        """Send the pieces that a peer asks for."""
+    def receive_request(self, request: PieceRequest, sender: Address) -> None:
+        """Send the pieces that a peer requests."""
         if request.first >= 0:
-            serve_ask(
+            send_pieces(
                 request,
                 sender,
                 self._store,
@@ -105,7 +106,7 @@
             self._fetch()
 
     def _fetch(self) -> None:
-        """Request the missing parts, or complete the fetch if there are none."""
+        """Request the missing parts; complete the fetch if there are none."""
         candidate = self._candidate
         if candidate is None:
             return
--- a/siskinbank/peers/freshness.py
+++ b/siskinbank/peers/freshness.py
@@ -4,8 +4,8 @@
 for longer than the lease is stale: it asks several peers and acts again as
 soon as a peer that is itself fresh has answered. If no peer answers for some
 time during which the process was running, it is isolated and continues with
-its last known state: any process that this could harm would be reachable, and
-would have answered.
+its last known state. This harms no other process: one that it could harm would
+be reachable, and would have answered.
 """
 
 import random
@@ -18,6 +18,8 @@
 LEASE_SECONDS = 10
 _ISOLATION_SECONDS = 3
 _NONCE_LIMIT = 1 << 32
+#: Longest running time counted for one tick; during the rest of a longer
+#: interval the process was paused.
 _MAX_TICK_SECONDS = 1.5
 
 
@@ -34,7 +36,7 @@
         log: events.EventLog,
         rng: random.Random,
     ) -> None:
-        """Create an expired lease: a new process asks peers before it serves."""
+        """Create an expired lease: a new process first asks its peers."""
         self._clock = clock
         self._log = log
         self._renewed_at: float | None = None
@@ -94,7 +96,7 @@
         """Count the running time without a reply; call about once a second."""
         self._draw_nonce()
         now = self._clock()
-        awake = min(now - self._last_tick, _MAX_TICK_SECONDS)
+        running_seconds = min(now - self._last_tick, _MAX_TICK_SECONDS)
         paused = now - self._last_tick > LEASE_SECONDS
         self._last_tick = now
         if self.lease_valid:
@@ -103,7 +105,7 @@
             self._isolated_at = None
             self._unanswered_seconds = 0
             return
-        self._unanswered_seconds += awake
+        self._unanswered_seconds += running_seconds
         if self._isolated_at is not None:
             self._isolated_at = now
         elif self._unanswered_seconds >= _ISOLATION_SECONDS:
--- a/siskinbank/peers/gossip.py
+++ b/siskinbank/peers/gossip.py
@@ -51,20 +51,20 @@
 _GENERATION_FAN_OUT = 4
 _UPDATE_FAN_OUT = 3
 _UPDATE_DELAY_SECONDS = 0.05
-_PROBED_PEERS = 5
-_REMOVE_SILENT_SECONDS = 600
-_ALIVE_STATUS_SECONDS = 120
+_ASKED_PEERS = 5
+_SILENT_REMOVAL_SECONDS = 600
+_ALIVE_STATUS_RETENTION_SECONDS = 120
 _PRUNE_SECONDS = 30
 #: Limits on the bytes that a process sends to answer its peers.
 _UPLOAD_BYTES_PER_SECOND = 20_000
 _UPLOAD_BURST_BYTES = 400_000
 _JOIN_ANSWERS = 3
-_JOIN_SECONDS = 1.5
+_JOIN_TIMEOUT_SECONDS = 1.5
 
 
 @dataclass(frozen=True, slots=True)
 class Identity:
-    """Identifies a process; ``epoch`` is the first of this incarnation."""
+    """Identifies a process; ``epoch`` is its epoch at the start."""
 
     name: str
     role: str
@@ -77,8 +77,12 @@
     """Disseminates configuration and membership for one process.
 
     Attributes:
+        seeds: Addresses of peers to ask while the roster has few records.
+        leaving: Names of the instances that are listed as leaving or
+            announced it.
+        gone: Names of the instances that are gone.
         on_adopt: Called with each site that comes into force.
-        on_beliefs: Called when the leaving or gone hosts have changed.
+        on_membership_change: Called when ``leaving`` or ``gone`` has changed.
     """
 
     def __init__(
@@ -135,15 +139,16 @@
 
     @property
     def joined(self) -> bool:
-        """Whether enough peers have answered for the process to continue.
+        """Whether the process may start to follow the platform.
 
-        After a time limit it continues without them.
+        True once enough peers have answered, a configuration is in force or a
+        time limit has passed.
         """
         known = len(self.roster) - 1 if len(self.roster) else _JOIN_ANSWERS
         wanted = min(known, _JOIN_ANSWERS)
         if self.store.in_force[0] or len(self._answered_peers) >= wanted:
             return True
-        return self.now - self._started_at >= _JOIN_SECONDS
+        return self.now - self._started_at >= _JOIN_TIMEOUT_SECONDS
 
     @property
     def fresh(self) -> bool:
@@ -173,7 +178,7 @@
     ) -> None:
         """Subscribe to all gossip messages."""
         subscribe(Announce, self._receive_announce)
-        subscribe(PieceRequest, self._document_fetch.receive_ask)
+        subscribe(PieceRequest, self._document_fetch.receive_request)
         subscribe(Piece, self._document_fetch.receive_piece)
         subscribe(Buckets, self._receive_buckets)
         subscribe(Bucket, self._receive_bucket)
@@ -200,8 +205,8 @@
 
     def ask_peers(self) -> None:
         """Ask several peers for an announcement."""
-        asked = {self._random_peer() for _ in range(_PROBED_PEERS)}
-        if len(self.roster) < _PROBED_PEERS:
+        asked = {self._random_peer() for _ in range(_ASKED_PEERS)}
+        if len(self.roster) < _ASKED_PEERS:
             asked.update(self.seeds)
         for peer in asked - {self.identity.address}:
             if peer is not None:
@@ -225,6 +230,7 @@
         if not newer:
             return
         if not had_peers:
+            # The time limit for joining starts again, now that peers are known.
             self._started_at = self.now
             self.ask_peers()
         for record in newer:
@@ -276,8 +282,8 @@
         self.lagging.merge(received.lagging, own, self.now)
         self._receive_updates(received)
         key = (received.generation, received.digest)
-        self._document_fetch.consider(key, sender)
-        self._document_fetch.consider_refused(received.refused, sender)
+        self._document_fetch.fetch_newer(key, sender)
+        self._document_fetch.fetch_refused(received.refused, sender)
         if received.flags & REPLY_WANTED:
             self._announce(sender, echo=received.nonce)
             if received.roster != self.roster.root:
@@ -286,8 +292,8 @@
     def _note_sender(self, received: Announce, sender: Address) -> None:
         """Record that the sender is alive.
 
-        A sender that is known as silent with the same or a higher epoch is
-        told so; it then starts a new epoch.
+        If the sender's known status is silent, in the same or a higher epoch,
+        that status is sent to it. The sender then starts a new epoch.
         """
         record = self.roster.get(received.name)
         if record is not None:
@@ -319,6 +325,7 @@
         return MemberStatus(self._epoch, state, self.identity.name)
 
     def _merge_status(self, status: MemberStatus) -> None:
+        """Merge a status; refute one about this process with a new epoch."""
         if status.name == self.identity.name and status > self._own_status():
             self._epoch = max(self._epoch, status.epoch) + 1
             self.statuses.forget(status.name)
@@ -369,7 +376,7 @@
 
     def _random_peer(self) -> Address | None:
         records = self.roster.index().records
-        for _ in range(_PROBED_PEERS if records else 0):
+        for _ in range(_ASKED_PEERS if records else 0):
             record = self._rng.choice(records)
             if record.name == self.identity.name:
                 continue
@@ -388,11 +395,11 @@
             self.on_membership_change()
 
     def _prune(self) -> None:
-        self.statuses.prune(self.now, _ALIVE_STATUS_SECONDS)
+        self.statuses.prune(self.now, _ALIVE_STATUS_RETENTION_SECONDS)
         removed = [
             name
             for name, seconds in self.statuses.silent(self.now).items()
-            if seconds >= _REMOVE_SILENT_SECONDS and self._is_omitted(name)
+            if seconds >= _SILENT_REMOVAL_SECONDS and self._is_omitted(name)
         ]
         self.roster = self.roster.without(removed)
         for name in removed:
@@ -408,4 +415,4 @@
 
 
 def _ignore_change() -> None:
-    """Default of ``on_beliefs``."""
+    """Default of ``on_membership_change``."""
--- a/siskinbank/peers/readers.py
+++ b/siskinbank/peers/readers.py
@@ -66,7 +66,7 @@
 def read_interval(
     rank: int | None,
     read_age: float,
-    fleet: int,
+    fleet_size: int,
     rng: random.Random,
 ) -> float | None:
     """Return the seconds between a process's reads, or None for no reads.
@@ -76,7 +76,7 @@
             known and each process must read for itself.
         read_age: Seconds since a reader of the data centre last reached the
             platform, as far as is known.
-        fleet: The number of known processes.
+        fleet_size: The number of known processes.
         rng: Draws the jitter.
 
     Returns:
@@ -91,6 +91,6 @@
         if read_age <= FALLBACK_SECONDS + steps * _RANK_DELAY_SECONDS:
             return None
     interval = max(
-        fleet * _CALLS_PER_READ / FALLBACK_CALLS_PER_SECOND, READ_SECONDS
+        fleet_size * _CALLS_PER_READ / FALLBACK_CALLS_PER_SECOND, READ_SECONDS
     )
     return interval * rng.uniform(0.5, 1.5)
--- a/siskinbank/peers/ring.py
+++ b/siskinbank/peers/ring.py
@@ -2,26 +2,26 @@
 
 from dataclasses import dataclass
 
-from siskinbank.directory.roster import Record, Roster, ring_key
 from siskinbank.directory.member_status import (
     MemberState,
     MemberStatus,
     MemberStatusTable,
 )
+from siskinbank.directory.roster import Record, Roster, ring_key
 
 __all__ = ('RingMonitor',)
 
 _MONITORED_SUCCESSORS = 2
-_MAX_SEARCH_STEPS = 8
+_MAX_RING_STEPS = 8
 _SILENT_SECONDS = 4
 
 
 @dataclass(slots=True)
-class _Neighbour:
+class _MonitoredSuccessor:
     """A monitored successor.
 
-    ``last_seen`` is when it last sent something, or else when monitoring
-    began.
+    ``last_seen`` is the time of its last message, or the time at which the
+    monitoring started or was reset.
     """
 
     last_seen: float
@@ -35,14 +35,14 @@
         """Initialize for the process ``name``."""
         self._name = name
         self._data_centre = data_centre
-        self._neighbours: dict[str, _Neighbour] = {}
+        self._monitored: dict[str, _MonitoredSuccessor] = {}
 
     def note_received(self, name: str, epoch: int, now: float) -> None:
         """Record that a message of an instance was received."""
-        neighbour = self._neighbours.get(name)
-        if neighbour is not None:
-            neighbour.last_seen = now
-            neighbour.epoch = epoch
+        monitored = self._monitored.get(name)
+        if monitored is not None:
+            monitored.last_seen = now
+            monitored.epoch = epoch
 
     def update(
         self,
@@ -63,18 +63,18 @@
                 evidence then.
         """
         successors = self._successors(roster, statuses)
-        previous = self._neighbours
-        self._neighbours = {
-            record.name: previous.get(record.name) or _Neighbour(now)
+        previous = self._monitored
+        self._monitored = {
+            record.name: previous.get(record.name) or _MonitoredSuccessor(now)
             for record in successors
         }
         if reset:
-            for neighbour in self._neighbours.values():
-                neighbour.last_seen = now
+            for monitored in self._monitored.values():
+                monitored.last_seen = now
         silent = [
             self._silent_status(record.name, statuses)
             for record in successors
-            if now - self._neighbours[record.name].last_seen >= _SILENT_SECONDS
+            if now - self._monitored[record.name].last_seen >= _SILENT_SECONDS
         ]
         return successors, silent
 
@@ -83,7 +83,7 @@
     ) -> MemberStatus:
         known = statuses.get(name)
         epoch = max(
-            self._neighbours[name].epoch,
+            self._monitored[name].epoch,
             known.epoch if known else 0,
         )
         return MemberStatus(epoch, MemberState.silent, name)
@@ -92,9 +92,9 @@
         self, roster: Roster, statuses: MemberStatusTable
     ) -> list[Record]:
         ring = roster.index().rings.get(self._data_centre, ())
-        position = _ring_position(ring, self._name)
+        position = _ring_index(ring, self._name)
         successors: list[Record] = []
-        for step in range(1, min(len(ring), _MAX_SEARCH_STEPS)):
+        for step in range(1, min(len(ring), _MAX_RING_STEPS)):
             record = ring[(position + step) % len(ring)]
             if (
                 record.name == self._name
@@ -106,8 +106,8 @@
         return successors
 
 
-def _ring_position(ring: tuple[Record, ...], name: str) -> int:
-    """Return the position of a name on a ring that is sorted by hash."""
+def _ring_index(ring: tuple[Record, ...], name: str) -> int:
+    """Return the index of a name on a ring that is sorted by hash."""
     low, high = 0, len(ring)
     key = ring_key(name)
     while low < high:
--- a/siskinbank/peers/rosters.py
+++ b/siskinbank/peers/rosters.py
@@ -3,10 +3,6 @@
 import random
 
 from siskinbank.config.site import Address
-from siskinbank.kernel.metrics import Metrics
-from siskinbank.kernel.reasons import Drop, Ignored
-from siskinbank.peers.rate import TokenBucket
-from siskinbank.peers.transfer import Send
 from siskinbank.directory.roster import (
     BUCKET_DIGEST_BYTES,
     BUCKETS,
@@ -14,11 +10,16 @@
     Roster,
     parse_record,
 )
+from siskinbank.kernel.metrics import Metrics
+from siskinbank.kernel.reasons import Drop, Ignored
+from siskinbank.peers.rate import TokenBucket
+from siskinbank.peers.transfer import Send
 from siskinbank.wire.gossip import Bucket, Buckets
 
 __all__ = ('RosterSync', 'parse_records')
 
 _BUCKETS_PER_REPLY = 32
+#: Assumed size of a record in a message, for the rate limit.
 _RECORD_BYTES = 45
 
 
@@ -67,7 +68,7 @@
         roster: Roster,
         peer: Address,
     ) -> None:
-        """Send the buckets that differ, and request the peer's."""
+        """Send buckets that differ, and request the peer's records of them."""
         if len(received.digests) != BUCKETS * BUCKET_DIGEST_BYTES:
             self._metrics.count(Drop.malformed)
             return
@@ -84,7 +85,7 @@
         *,
         wanted: bool,
     ) -> None:
-        """Send one bucket; ``wanted`` requests the peer's in return."""
+        """Send one bucket; ``wanted`` requests the peer's records in return."""
         records = [record.parts for record in roster.bucket(index)]
         if self._rate.take(_RECORD_BYTES * (len(records) + 1)):
             self._send(Bucket(index, wanted, records), peer)
--- a/siskinbank/peers/timing.py
+++ b/siskinbank/peers/timing.py
@@ -19,7 +19,10 @@
         callback: Callable[[], None],
         jitter: float = 0,
     ) -> object:
-        """Call ``callback`` every ``interval`` seconds."""
+        """Call ``callback`` every ``interval`` seconds.
+
+        ``jitter`` is the largest deviation, as a fraction of the interval.
+        """
 
     def after(self, delay: float, callback: Callable[[], None]) -> object:
         """Call ``callback`` once, after ``delay`` seconds."""
--- a/siskinbank/peers/transfer.py
+++ b/siskinbank/peers/transfer.py
@@ -13,7 +13,7 @@
 from siskinbank.wire.gossip import Piece, PieceRequest
 from siskinbank.wire.messages import Message
 
-__all__ = ('PIECE_BYTES', 'PieceCollector', 'serve_ask')
+__all__ = ('PIECE_BYTES', 'PieceCollector', 'send_pieces')
 
 #: Fits one frame of 1,500 bytes together with all headers.
 PIECE_BYTES = 1100
@@ -25,7 +25,7 @@
 Send = Callable[[Message, Address], None]
 
 
-def serve_ask(
+def send_pieces(
     request: PieceRequest,
     requester: Address,
     store: DocumentStore,
@@ -33,7 +33,7 @@
     rate: TokenBucket,
     metrics: Metrics,
 ) -> None:
-    """Send the next pieces of a document that a peer asks for."""
+    """Send the next pieces of a document that a peer requests."""
     blob = store.blob(request.digest)
     if blob is None:
         return
@@ -120,7 +120,7 @@
         partial: _PartialDocument,
         sender: Address,
     ) -> None:
-        """Request the next burst without waiting for the timer."""
+        """Request the next pieces at once, after the last one of a request."""
         if (piece.index + 1) % _PIECES_PER_REQUEST == 0:
             self._send(
                 PieceRequest(piece.digest, partial.first_missing), sender
--- a/siskinbank/peers/update_queue.py
+++ b/siskinbank/peers/update_queue.py
@@ -1,10 +1,10 @@
-"""Updates on instances to pass on, each sent a bounded number of times."""
+"""Queue of instance updates, each sent a bounded number of times."""
 
 from dataclasses import dataclass
 from typing import Any
 
-from siskinbank.directory.roster import Record
 from siskinbank.directory.member_status import MemberStatus
+from siskinbank.directory.roster import Record
 
 __all__ = ('UpdateQueue',)
 
@@ -34,8 +34,8 @@
     def add_record(self, record: Record) -> None:
         """Queue a record.
 
-        When the queue is full the record is left to the comparison of
-        buckets.
+        If the queue is full, the record is not queued. Peers then get it when
+        they compare the digests of their buckets.
         """
         if len(self._records) < _MAX_QUEUED:
             self._records[record.name] = _Update(record.parts)
--- a/siskinbank/wire/bodies.py
+++ b/siskinbank/wire/bodies.py
@@ -32,7 +32,7 @@
 
 
 class BodyTruncatedError(Exception):
-    """A body was cut before its end mark."""
+    """A body was truncated before its end mark."""
 
 
 class SendWindow:
@@ -109,7 +109,7 @@
         """Return the next bytes, or no bytes at the end of the body.
 
         Raises:
-            BodyCutError: the rest of the body will not be received.
+            BodyTruncatedError: the rest of the body will not be received.
         """
         while True:
             await self._wait_for_part()
--- a/siskinbank/wire/checks.py
+++ b/siskinbank/wire/checks.py
@@ -2,10 +2,10 @@
 
 from typing import Any
 
-__all__ = ('MAX_NAME', 'is_valid_name', 'is_number_below')
+__all__ = ('MAX_NAME_LENGTH', 'is_valid_name', 'is_number_below')
 
 #: Maximum length of the name of an instance or data centre, in characters.
-MAX_NAME = 63
+MAX_NAME_LENGTH = 63
 
 
 def is_number_below(given: Any, limit: int) -> bool:
@@ -17,4 +17,4 @@
 
 def is_valid_name(given: Any) -> bool:
     """Return whether ``given`` is a valid instance or data centre name."""
-    return isinstance(given, str) and 0 < len(given) <= MAX_NAME
+    return isinstance(given, str) and 0 < len(given) <= MAX_NAME_LENGTH
--- a/siskinbank/wire/envelopes.py
+++ b/siskinbank/wire/envelopes.py
@@ -118,10 +118,10 @@
 def read_owned(body: bytes, service: int) -> tuple[bytes, bytes] | None:
     """Return the flow and packet of a plain envelope without unpacking it.
 
-    An envelope is plain if it has one candidate, ``NAMED`` as its only flag
-    and the given ``service``, and if its inner packet is complete and neither
-    opens nor ends a flow. For other bodies the result is None, and the caller
-    unpacks the envelope.
+    An envelope is plain if it has one candidate, ``OWNER_NAMED`` as its only
+    flag and the given ``service``, and if its inner packet is complete and
+    neither opens nor ends a flow. For other bodies the result is None, and the
+    caller unpacks the envelope.
     """
     if len(body) < _MIN_OWNED_BYTES or body[1] != OWNER_NAMED or body[3] != 1:
         return None
--- a/siskinbank/wire/gossip.py
+++ b/siskinbank/wire/gossip.py
@@ -16,7 +16,7 @@
 
 #: The sender requests an announcement in reply.
 REPLY_WANTED = 0x01
-#: The sender has received messages from other processes within its lease.
+#: The sender is fresh: it may act on its known state.
 FRESH = 0x02
 
 
@@ -32,9 +32,9 @@
     of the sender's roster. ``ages`` holds lists of a data centre's name, the
     milliseconds since any process last received a message from it, and the
     milliseconds since one of its readers last reached the platform.
-    ``records`` and ``words`` hold changed records and announcements of
-    instances. ``laggards`` holds lists of the name, the generation and the age
-    in milliseconds of lagging processes.
+    ``records`` and ``statuses`` hold changed records and member statuses of
+    instances. ``lagging`` holds lists of the name of a lagging process, its
+    generation and the milliseconds since it was last seen.
     """
 
     kind = 80
--- a/siskinbank/wire/keys.py
+++ b/siskinbank/wire/keys.py
@@ -41,7 +41,7 @@
 
     @property
     def fingerprint(self) -> str:
-        """The number and a digest that identifies the key without showing it."""
+        """The number and a digest that identifies the key but hides it."""
         digest = hashlib.blake2b(
             key=self.secret,
             person=_FINGERPRINT_PERSON,
--- a/siskinbank/wire/packets.py
+++ b/siskinbank/wire/packets.py
@@ -1,4 +1,4 @@
-"""Parsing of the inner IPv4 packets of callers, and of their flows."""
+"""Parsing of the inner IPv4 packets of callers and of their flows."""
 
 import socket
 import struct
@@ -80,7 +80,7 @@
 
     @property
     def may_open(self) -> bool:
-        """Whether a host without this flow may accept the packet as a new one."""
+        """Whether a host without this flow may accept it with this packet."""
         return self.protocol == UDP or self.first
 
     @property
--- a/siskinbank/wire/streams.py
+++ b/siskinbank/wire/streams.py
@@ -81,7 +81,7 @@
         except asyncio.IncompleteReadError as error:
             if error.partial:
                 raise MessageError(
-                    'stream was cut inside the length of a message'
+                    'stream was cut inside the length or number of a message'
                 ) from error
             return None
         size, number = _HEADER.unpack(header)
--- a/siskinbank/wire/tls.py
+++ b/siskinbank/wire/tls.py
@@ -52,7 +52,7 @@
 
 
 class _ReloadingContext(ssl.SSLContext):
-    """Server context that uses the keys valid at the time of each connection."""
+    """Server context that uses the current keys for each connection."""
 
     security: 'StreamSecurity'
 
--- a/tests/directory/test_client.py
+++ b/tests/directory/test_client.py
@@ -4,9 +4,9 @@
 
 from aiohttp import web
 
+from siskinbank.directory.client import PlatformClient, PlatformError
 from siskinbank.lab.ports import free_ports
 from siskinbank.lab.standins.platform import PlatformStandIn
-from siskinbank.directory.client import PlatformClient, PlatformError
 from siskinbank.util import hex_digest
 
 LINE = {
@@ -36,9 +36,9 @@
         """An unchanged list is neither transferred nor parsed again."""
         self.platform._instances = [LINE]
         first = await self.client.instances()
-        self.assertGreater(self.client.list_octets, 0)
+        self.assertGreater(self.client.list_transfer_bytes, 0)
         self.assertIs(await self.client.instances(), first)
-        self.assertEqual(self.client.list_octets, 0)
+        self.assertEqual(self.client.list_transfer_bytes, 0)
         self.platform._instances = [{**LINE, 'state': 'leaving'}]
         self.assertNotEqual(await self.client.instances(), first)
 
--- a/tests/directory/test_fuzzing.py
+++ b/tests/directory/test_fuzzing.py
@@ -13,9 +13,9 @@
 from siskinbank.config.check import check_content
 from siskinbank.config.documents import parse_document
 from siskinbank.config.sections import Manifest, join_sections
-from siskinbank.kernel.findings import Findings
 from siskinbank.directory.client import PlatformError, _parse_manifest
 from siskinbank.directory.live import parse_instances
+from siskinbank.kernel.findings import Findings
 
 SCALARS = (
     st.none()
--- a/tests/directory/test_roster.py
+++ b/tests/directory/test_roster.py
@@ -75,7 +75,7 @@
         self.assertEqual(in_order.differing(reordered.digests), [])
 
     def test_malformed_records(self) -> None:
-        """Malformed parts of peers yield no record and no status."""
+        """Malformed records and statuses of peers are refused."""
         for parts in MALFORMED:
             with self.subTest(parts):
                 self.assertIsNone(parse_record(parts))
--- a/tests/peers/test_datagrams.py
+++ b/tests/peers/test_datagrams.py
@@ -8,8 +8,8 @@
 from siskinbank.kernel.reasons import Drop
 from siskinbank.lab.network import FakeNetwork
 from siskinbank.peers.datagrams import PeerSocket
-from siskinbank.wire.keys import Key, KeyRing
 from siskinbank.wire.flow_messages import Owner
+from siskinbank.wire.keys import Key, KeyRing
 from siskinbank.wire.messages import Message, encode
 from siskinbank.wire.request_messages import Cancel
 
--- a/tests/peers/test_freshness.py
+++ b/tests/peers/test_freshness.py
@@ -15,9 +15,9 @@
     READERS,
     read_interval,
 )
-from siskinbank.peers.transfer import PIECE_BYTES, PieceCollector, serve_ask
+from siskinbank.peers.transfer import PIECE_BYTES, PieceCollector, send_pieces
 from siskinbank.util import hex_digest
-from siskinbank.wire.gossip import Ask, Piece
+from siskinbank.wire.gossip import Piece, PieceRequest
 
 PEER = ('10.0.0.1', 7100)
 SIZE = 60_000
@@ -98,7 +98,7 @@
         source = DocumentStore(log, Metrics())
         source.put_raw(raw)
         store = DocumentStore(log, Metrics())
-        requests: list[Ask] = []
+        requests: list[PieceRequest] = []
         collector = PieceCollector(
             store, lambda sent, _to: requests.append(sent), clock
         )
@@ -113,7 +113,7 @@
             collector.request_missing([digest], PEER)
             while requests:
                 request = requests.pop()
-                serve_ask(request, PEER, source, deliver, rate, Metrics())
+                send_pieces(request, PEER, source, deliver, rate, Metrics())
             if store.blob(digest):
                 break
             clock.advance(0.3)
--- a/tests/peers/test_fuzzing.py
+++ b/tests/peers/test_fuzzing.py
@@ -37,16 +37,16 @@
     list: st.lists(st.integers(-9, 9) | st.text(max_size=3), max_size=4),
     dict: st.dictionaries(st.text(max_size=3), st.integers(-9, 9), max_size=3),
 }
-KINDS = tuple(messages._KINDS.values())  # noqa: SLF001
+MESSAGE_CLASSES = tuple(messages._KINDS.values())  # noqa: SLF001
 
 
 @st.composite
 def any_message(draw: st.DrawFn) -> bytes:
     """Return a message of any class with arbitrary fields, in msgpack."""
-    kind = draw(st.sampled_from(KINDS))
-    fields = dataclasses.fields(kind)  # type: ignore[arg-type]
+    message_class = draw(st.sampled_from(MESSAGE_CLASSES))
+    fields = dataclasses.fields(message_class)  # type: ignore[arg-type]
     given_fields = [draw(FIELDS[field.type]) for field in fields]
-    return messages.msgpack.packb([kind.kind, *given_fields])
+    return messages.msgpack.packb([message_class.kind, *given_fields])
 
 
 @st.composite
@@ -75,7 +75,7 @@
 
 @functools.cache
 def make_pool() -> Pool:
-    """Return a pool that all examples share, so that damage accumulates."""
+    """Return a pool that all examples share, so that faults accumulate."""
     pool = Pool(seed=1)
     pool.add_entry('entry-1', 1)
     for number in range(HOSTS):
--- a/tests/wire/test_replay.py
+++ b/tests/wire/test_replay.py
@@ -8,8 +8,8 @@
 from siskinbank.kernel.metrics import Metrics
 from siskinbank.kernel.reasons import Drop
 from siskinbank.peers.datagrams import PeerSocket
-from siskinbank.wire.keys import Key, KeyRing
 from siskinbank.wire.flow_messages import Owner
+from siskinbank.wire.keys import Key, KeyRing
 from siskinbank.wire.messages import Message
 from siskinbank.wire.replay import STAMP_BYTES, ReplayGuard
 
@@ -70,9 +70,9 @@
         sender.send_message(Owner(b'f' * 13, bytes(6), 1, 1), PEER)
         metrics = Metrics()
         receiver = PeerSocket(RING, metrics)
-        taken: list[Message] = []
-        receiver.on_message = lambda message, _sender: taken.append(message)
+        received: list[Message] = []
+        receiver.on_message = lambda message, _sender: received.append(message)
         for _ in range(3):
             receiver.receive(transport.sent[0], PEER)
-        self.assertEqual(taken, [Owner(b'f' * 13, bytes(6), 1, 1)])
+        self.assertEqual(received, [Owner(b'f' * 13, bytes(6), 1, 1)])
         self.assertEqual(metrics.value(Drop.replayed), 2)
