--- a/siskinbank/relay/configuration_transfer.py
+++ b/siskinbank/relay/configuration_transfer.py
@@ -23,7 +23,7 @@
 
 
 class ConfigurationTransfer:
-    """Fetches newer configurations from peers and serves the own one."""
+    """Fetches newer configurations and serves the one in force to peers."""
 
     __slots__ = (
         '_follower',
@@ -53,7 +53,7 @@
         self._requested_at = NEVER
         self._pending_version = 0
         self._pieces: dict[int, bytes] = {}
-        node.handlers[messages.ASK_CONFIGURATION] = self._handle_request
+        node.handlers[messages.CONFIGURATION_REQUEST] = self._handle_request
         node.handlers[messages.CONFIGURATION] = self._handle_piece
 
     def fetch_if_newer(self, version: int, ip: str) -> None:
@@ -62,7 +62,7 @@
         newer = version > self._follower.configuration.version
         if newer and now - self._requested_at > _REQUEST_INTERVAL_S:
             self._requested_at = now
-            self._node.send(ip, bytes((messages.ASK_CONFIGURATION,)))
+            self._node.send(ip, bytes((messages.CONFIGURATION_REQUEST,)))
 
     def _handle_request(self, raw: bytes, ip: str) -> None:
         configuration = self._follower.configuration
--- a/siskinbank/relay/entry.py
+++ b/siskinbank/relay/entry.py
@@ -41,9 +41,9 @@
 __all__ = ('Entry',)
 
 _SWEEP_INTERVAL_S = 5.0
-# Packets queued until routes and hosts are known, and how long they stay in
-# the queue, in seconds: clients abandon a flow that is not answered within
-# 1.4 s.
+# Maximum number of packets queued until routes and hosts are known, and how
+# long they stay queued, in seconds: clients abandon a flow that is not answered
+# within 1.4 s.
 _MAX_EARLY_PACKETS = 256
 _EARLY_PACKET_TTL_S = 1.0
 # Time after the start of the process, in seconds, by which all reachable hosts
@@ -52,7 +52,8 @@
 # Wait for further hosts after the first status update, in seconds: several
 # round trips to the most distant data centre.
 _DISCOVERY_WAIT_S = 0.06
-# Placements of a first packet, including those after a refusal by a sidecar.
+# Maximum number of placements of a first packet, including those after a
+# refusal by a sidecar.
 _MAX_PLACEMENTS = 3
 # Delay of a planned stop, in seconds: routers stop sending packets to a node
 # after two failed probes, half a second apart.
@@ -94,15 +95,17 @@
             self._gossip,
             self._reset,
         )
-        self._clients = open_udp_socket((settings.ip, settings.packet_port))
-        node.ready = self._is_ready
-        node.stopping = self._begin_stop
+        self._client_socket = open_udp_socket(
+            (settings.ip, settings.packet_port)
+        )
+        node.is_ready = self._is_ready
+        node.on_stop = self._begin_stop
         node.handlers[messages.HELD] = self._handle_held
-        node.handlers[messages.QUEUED] = self._handle_kept
+        node.handlers[messages.QUEUED] = self._handle_queued
         node.handlers[messages.ABSENT] = self._handle_absent
         node.handlers[messages.REFUSED] = self._handle_refused
         node.handlers[messages.STATUS] = self._handle_status
-        node.loop.watch(self._clients.fileno(), self._read_clients)
+        node.loop.watch(self._client_socket.fileno(), self._read_clients)
         node.loop.every(_SWEEP_INTERVAL_S, self._sweep)
         node.loop.every(_DISCOVERY_WAIT_S, self._process_early_packets)
         node.loop.on_stall(self._hosts.add_stall)
@@ -111,7 +114,9 @@
     # Packets from clients.
 
     def _read_clients(self, events: int) -> None:
-        read_datagrams(self._clients, MAX_PACKET_BYTES + 1, self._check_packet)
+        read_datagrams(
+            self._client_socket, MAX_PACKET_BYTES + 1, self._check_packet
+        )
 
     def _check_packet(self, packet: bytes, address: tuple[str, int]) -> None:
         problem = packet_problem(packet)
@@ -145,7 +150,7 @@
         key = packet[FLOW_KEY]
         flow = self._flows.get(key)
         if flow and flow.confirmed:
-            # The answer is lost or in transit; the same host sends it again.
+            # The answer was lost or is in transit; the same host resends it.
             opening = messages.Opening(self._node.packed_ip, packet)
             self._node.send(flow.ip, opening.pack())
             return
@@ -201,8 +206,8 @@
         opening = messages.Opening(self._node.packed_ip, packet)
         opening.service = messages.digest(service)
         opening.version = self._follower.configuration.version
-        opening.aim_ms = messages.wait_ms(route.target_latency_s)
-        opening.limit_ms = messages.wait_ms(max_wait_s(route.limit_s))
+        opening.target_latency_ms = messages.wait_ms(route.target_latency_s)
+        opening.wait_limit_ms = messages.wait_ms(max_wait_s(route.limit_s))
         opening.candidates = [host.packed for host in chosen]
         self._node.send(opening.pop_next(), opening.pack())
 
@@ -271,7 +276,9 @@
     def _reset(self, packet: bytes, reason: str) -> None:
         self._flows.drop(packet[FLOW_KEY])
         version = self._follower.configuration.version
-        self._node.reset_flow(self._clients, packet, reason, version=version)
+        self._node.reset_flow(
+            self._client_socket, packet, reason, version=version
+        )
 
     def _search_host(self, key: bytes, packet: bytes) -> None:
         if not self._is_discovery_done():
@@ -291,7 +298,7 @@
         for packet in self._searcher.finish(key, ip):
             self._node.send(ip, messages.pack_forward(packet))
 
-    def _handle_kept(self, raw: bytes, ip: str) -> None:
+    def _handle_queued(self, raw: bytes, ip: str) -> None:
         key, _, _ = messages.read_flow_note(raw)
         flow = self._flows.get(key)
         if flow and not flow.confirmed:
--- a/siskinbank/relay/flow_admission.py
+++ b/siskinbank/relay/flow_admission.py
@@ -29,11 +29,12 @@
     from siskinbank.sidecar.tracked_flows import TrackedFlow
     from siskinbank.tracking.own_host import OwnHost
 
-__all__ = ('FlowAdmission', 'check_packet_head')
+__all__ = ('FlowAdmission', 'check_packet_header')
 
 # Maximum number of times that a first packet is forwarded.
 _MAX_HOPS = 8
-# Number of free slots reported for a host that would shed another request.
+# Number of free slots assumed for a host that would shed another request: the
+# pending queue then releases no flow.
 _NO_FREE_SLOTS = -1000
 # Interval at which the pending queue is checked, in seconds, in addition to the
 # check at the end of each request: the usual duration of a request.
@@ -55,7 +56,7 @@
         '_host',
         '_node',
         '_reporter',
-        '_waiting',
+        '_unanswered',
         'queue',
     )
 
@@ -65,7 +66,7 @@
         host: OwnHost,
         reporter: StatusReporter,
         flows: dict[bytes, TrackedFlow],
-        waiting: dict[bytes, PendingPacket],
+        unanswered: dict[bytes, PendingPacket],
         deliver: Callable[[bytes], None],
     ) -> None:
         """Initialize flow admission and register the message handler.
@@ -75,7 +76,7 @@
             host: The known state of the host.
             reporter: Sends status updates to the entries.
             flows: The flows that the host holds, by flow key.
-            waiting: Packets that the host has not answered, by flow key.
+            unanswered: Packets that the host has not answered, by flow key.
             deliver: Called to send a packet to the host.
         """
         self.queue = PendingQueue()
@@ -84,20 +85,20 @@
         self._host = host
         self._reporter = reporter
         self._flows = flows
-        self._waiting = waiting
+        self._unanswered = unanswered
         self._deliver = deliver
         node.handlers[messages.OPEN] = self._handle_open
 
     def note_host_refusal(
-        self, key: bytes, waiting: PendingPacket | None
+        self, key: bytes, unanswered: PendingPacket | None
     ) -> None:
         """Handle a first packet that the host has refused."""
         self._host.expected_requests.end(key)
         if self._host.refusal_backoff.note_refusal(self._node.loop.now):
             self._node.log('host.refusing', flows=len(self._flows))
             self._reporter.send_status()
-        if waiting and waiting.opening:
-            self._forward(key, waiting.opening, reasons.HOST_REFUSED)
+        if unanswered and unanswered.opening:
+            self._forward(key, unanswered.opening, reasons.HOST_REFUSED)
 
     def count_in_time(self) -> int:
         """Return the number of queued flows that precede a new one."""
@@ -117,7 +118,7 @@
             for key, queued in self.queue.clear():
                 self._forward(key, queued.opening, reason)
             return
-        while host.spare(now) != 0:
+        while host.cold_flows_left(now) != 0:
             found = self.queue.next(
                 now, host.processing_time.seconds, self._free_slots(now)
             )
@@ -127,7 +128,7 @@
 
     def _handle_open(self, raw: bytes, ip: str) -> None:
         opening = messages.Opening.read(raw)
-        packet = check_packet_head(opening.packet)
+        packet = check_packet_header(opening.packet)
         key = packet[FLOW_KEY]
         entry = inet_ntoa(opening.entry)
         self._host.version = max(self._host.version, opening.version)
@@ -135,7 +136,7 @@
         flow = self._flows.get(key)
         if flow:
             flow.entry = entry
-        if flow or key in self._waiting:
+        if flow or key in self._unanswered:
             # A retransmission of a packet that the host has already.
             self._deliver(packet)
             return
@@ -154,25 +155,27 @@
         now = self._node.loop.now
         host = self._host
         has_candidates = bool(opening.candidates) and opening.hops < _MAX_HOPS
-        unknown = not host.is_trusted(now) and not host.may_accept_trial_flow(
+        untrusted = not host.is_trusted(now) and not host.may_accept_trial_flow(
             now
         )
-        if has_candidates and unknown:
+        if has_candidates and untrusted:
             self._forward(key, opening, reasons.BUSY)
             return
         copy = sequence_numbers(opening.packet)[1]
         sent = now - sent_ago_s(copy)
-        queued = QueuedOpening(opening, now, sent, opening.aim_ms / _MS)
+        queued = QueuedOpening(
+            opening, now, sent, opening.target_latency_ms / _MS
+        )
         wait = self._wait_s(queued)
         best = opening.best_wait_s
         decision = queueing_decision(
-            wait, opening.limit_ms / _MS, best, has_candidates
+            wait, opening.wait_limit_ms / _MS, best, has_candidates
         )
         if decision == 'here':
             self._queue_opening(key, queued)
             return
         if decision == 'back':
-            # That host queues or refuses the flow; it is not forwarded again.
+            # The best host queues or refuses the flow and does not forward it.
             opening.candidates = [opening.best]
             opening.best_wait_ms = messages.MAX_WAIT_MS
         elif wait is not None and (best is None or wait < best):
@@ -242,9 +245,11 @@
         opening = queued.opening
         host = self._host
         host.note_admitted(key, now)
-        waiting = PendingPacket(inet_ntoa(opening.entry), now, opening.packet)
-        waiting.opening = opening
-        self._waiting[key] = waiting
+        unanswered = PendingPacket(
+            inet_ntoa(opening.entry), now, opening.packet
+        )
+        unanswered.opening = opening
+        self._unanswered[key] = unanswered
         self._node.log(
             'flow.taken',
             flow=describe_flow(key),
@@ -287,12 +292,12 @@
         self._node.send(inet_ntoa(opening.entry), note + opening.packet)
 
 
-def check_packet_head(packet: bytes) -> bytes:
-    """Return a packet unchanged if it has a complete head.
+def check_packet_header(packet: bytes) -> bytes:
+    """Return a packet unchanged if it has a complete header.
 
     Raises:
-        Malformed: If the packet is too short.
+        DatagramError: If the packet is too short.
     """
     if len(packet) < HEAD_BYTES:
-        raise messages.Malformed('packet is shorter than its head')
+        raise messages.DatagramError('packet is shorter than its header')
     return packet
--- a/siskinbank/relay/flow_searcher.py
+++ b/siskinbank/relay/flow_searcher.py
@@ -1,8 +1,8 @@
 """Search for the host of a flow that is missing in the cache of an entry.
 
-Sidecars are queried first, with a few bytes for each flow. Sidecars that have
-watched their host for too short a time to answer get the packet itself, so
-that the host decides. A flow that no host holds is reset.
+Sidecars are queried first, with a few bytes for each flow. A sidecar that has
+not observed its host long enough to answer gets the packet itself and sends it
+to the host, which accepts or refuses it. A flow that no host holds is reset.
 """
 
 from __future__ import annotations
@@ -46,12 +46,12 @@
 # Maximum pause between rounds, in seconds: half of a client's first
 # retransmission timeout.
 _MAX_PAUSE_S = 0.1
-# Unresponsive hosts listed in one log line.
+# Maximum number of unresponsive hosts listed in one log line.
 _MAX_LOGGED_HOSTS = 4
 
 
 class FlowSearcher:
-    """Searches of an entry for the hosts of unknown flows.
+    """Searches for the hosts of flows that an entry has not cached.
 
     It also decides which hosts are gone.
     """
@@ -63,12 +63,12 @@
         '_last_round_at',
         '_node',
         '_queries',
+        '_relay_targets',
         '_reset',
         '_round_pause_s',
         '_round_scheduled',
         '_searches',
         '_started',
-        '_unsure_hosts',
     )
 
     def __init__(
@@ -97,12 +97,12 @@
         self._reset = reset
         self._searches = FlowSearches()
         self._queries: dict[str, list[bytes]] = {}
-        self._unsure_hosts: dict[bytes, list[bytes]] = {}
+        self._relay_targets: dict[bytes, list[bytes]] = {}
         self._last_round_at = NEVER
         self._round_pause_s = _BATCH_S
         self._round_scheduled = False
         node.handlers[messages.NOT_HELD] = self._handle_not_held
-        node.handlers[messages.HELD_UNKNOWN] = self._handle_unsure
+        node.handlers[messages.HELD_UNKNOWN] = self._handle_held_unknown
         node.loop.every(REPEAT_INTERVAL_S, self._continue_searches)
 
     def search(self, key: bytes, packet: bytes) -> None:
@@ -136,7 +136,7 @@
         return [search.first, *search.queued_packets]
 
     def add_absent(self, key: bytes, ip: str) -> bool:
-        """Note that a host doesn't hold a flow; return whether it is sought."""
+        """Record that a host lacks a flow; return whether a search is ongoing."""
         search = self._searches.get(key)
         if search is None:
             return False
@@ -148,7 +148,7 @@
         return True
 
     def has_left(self, ip: str) -> bool:
-        """Return whether a host is silent and has no entry in the store."""
+        """Return whether a host is silent and has no record in the store."""
         host = self._hosts.get(ip)
         now = self._node.loop.now
         if host is None or now - host.last_seen < _SUSPECT_AFTER_S:
@@ -175,9 +175,9 @@
     def _is_unregistered(self, ip: str) -> bool:
         """Return whether an unresponsive host is absent from the store."""
         follower = self._follower
-        if self._node.loop.now - follower.hosts_seen > _MAX_LIST_AGE_S:
-            # This flow needs a fresh listing, whichever process is the current
-            # reader.
+        if self._node.loop.now - follower.hosts_read_at > _MAX_LIST_AGE_S:
+            # The search needs a fresh listing, even if this process is not the
+            # current reader.
             self._gossip.request_hosts_read()
             return False
         return ip not in follower.hosts and follower.absence_is_reliable()
@@ -214,36 +214,36 @@
         self._round_pause_s = min(max(pause, _BATCH_S), _MAX_PAUSE_S)
         for ip, keys in queries.items():
             for start in range(0, len(keys), messages.MAX_KEYS):
-                some = keys[start : start + messages.MAX_KEYS]
-                datagram = messages.pack_keys(messages.ASK_FLOWS, some)
+                batch = keys[start : start + messages.MAX_KEYS]
+                datagram = messages.pack_keys(messages.FLOW_QUERY, batch)
                 self._node.send(ip, datagram)
 
     def _handle_not_held(self, raw: bytes, ip: str) -> None:
         for key in messages.read_keys(raw):
             self.add_absent(key, ip)
 
-    def _handle_unsure(self, raw: bytes, ip: str) -> None:
-        """Schedule sending the packet to a host whose sidecar can't answer."""
-        if not self._unsure_hosts:
+    def _handle_held_unknown(self, raw: bytes, ip: str) -> None:
+        """Schedule sending the packets to a host whose sidecar can't answer."""
+        if not self._relay_targets:
             self._node.loop.after(_BATCH_S, self._send_packets)
         for key in messages.read_keys(raw):
-            self._unsure_hosts.setdefault(key, []).append(inet_aton(ip))
+            self._relay_targets.setdefault(key, []).append(inet_aton(ip))
 
     def _send_packets(self) -> None:
-        """Send each packet to one sidecar, which relays it to the others.
+        """Send the packet of each search to one sidecar to relay to the others.
 
         Load pattern: after a power loss no sidecar can answer. Sending some
         hundred packets to dozens of hosts each would saturate an entry's
         low-bandwidth link for longer than clients wait.
         """
-        unsure, self._unsure_hosts = self._unsure_hosts, {}
-        for key, hosts in unsure.items():
+        targets, self._relay_targets = self._relay_targets, {}
+        for key, hosts in targets.items():
             search = self._searches.get(key)
             if search is None:
                 continue
             for start in range(0, len(hosts), messages.MAX_RELAYED):
                 first, *others = hosts[start : start + messages.MAX_RELAYED]
-                datagram = messages.relayed(
+                datagram = messages.pack_relayed(
                     self._node.packed_ip,
                     others,
                     search.first,
@@ -281,30 +281,36 @@
         route: Route | None,
     ) -> bool:
         """End a search and reset the flow if no host can hold it."""
-        if route and not self._are_missing_hosts_gone(search, hosts, route):
+        if route and not self._are_unresponsive_hosts_gone(
+            search, hosts, route
+        ):
             return False
         self._searches.end(key)
         self._reset(search.first, 'no-host-holds-it')
         return True
 
-    def _are_missing_hosts_gone(
+    def _are_unresponsive_hosts_gone(
         self,
         search: FlowSearch,
         hosts: list[TrackedHost],
         route: Route,
     ) -> bool:
-        """Return whether all hosts that have not answered are gone."""
+        """Return whether all hosts that have not answered are gone.
+
+        A host in the store counts as gone if it can no longer be expected to
+        answer and this process is not isolated.
+        """
         if not self._follower.hosts_revision:
             return False
-        asked = search.unanswered(_addresses(hosts))
-        unclear = [
+        unresponsive = search.unanswered(_addresses(hosts))
+        possibly_alive = [
             ip
-            for ip in asked + self._never_seen(route)
+            for ip in unresponsive + self._never_seen(route)
             if not self._is_unregistered(ip)
         ]
-        return not unclear or (
+        return not possibly_alive or (
             not self._is_isolated(route)
-            and not any(self._may_answer(ip, route) for ip in unclear)
+            and not any(self._may_answer(ip, route) for ip in possibly_alive)
         )
 
     def _may_answer(self, ip: str, route: Route) -> bool:
@@ -315,9 +321,9 @@
         return may_still_answer(silent_s, route.idempotent, usual_interval_s)
 
     def _is_isolated(self, route: Route) -> bool:
-        """Return whether this process is isolated.
+        """Return whether this process is isolated from the hosts of a route.
 
-        More than half of the route's hosts are silent or unknown then.
+        It is if more than half of them are silent or unknown.
         """
         cutoff = self._node.loop.now - SILENT_S
         hosts = self._hosts_of(route)
@@ -336,7 +342,7 @@
         return [host for host in hosts if not self.has_left(host.ip)]
 
     def _never_seen(self, route: Route) -> list[str]:
-        """Return the hosts in the store without a status update so far."""
+        """Return the hosts in the store that have sent no status update yet."""
         services = {service for service, _ in route.shares}
         return [
             ip
--- a/siskinbank/relay/follower.py
+++ b/siskinbank/relay/follower.py
@@ -1,4 +1,4 @@
-"""Reads hosts and operator settings from the store when a read is due."""
+"""Reads host records and operator keys from the store when a read is due."""
 
 from __future__ import annotations
 
@@ -71,11 +71,12 @@
         configuration: Configuration in force, from the store or from peers.
         evacuated: Names of the data centres evacuated by the operator.
         operator_revision: Revision of the last known operator change.
-        operator_seen: Time of the store's last response about operator keys.
+        operator_read_at: Time of the store's last response about operator keys.
         hosts: Host records by IP address.
         hosts_revision: Revision of the last listing of the hosts.
-        hosts_seen: Time when that listing was read.
-        hosts_told: Time of the newest listing that a peer announced.
+        hosts_read_at: Time when that listing was read.
+        hosts_read_by_peer_at: Time when the store confirmed the newest listing
+            that a peer announced.
         rank: Position of this process in the order of readers, from 0.
         hosts_due: Returns whether the hosts must be listed now.
         operator_due: Returns whether the operator keys must be read now.
@@ -97,11 +98,11 @@
         self.configuration = Configuration()
         self.evacuated: frozenset[str] = frozenset()
         self.operator_revision = 0
-        self.operator_seen = NEVER
+        self.operator_read_at = NEVER
         self.hosts: dict[str, HostRecord] = {}
         self.hosts_revision = 0
-        self.hosts_seen = NEVER
-        self.hosts_seen_by_peer = NEVER
+        self.hosts_read_at = NEVER
+        self.hosts_read_by_peer_at = NEVER
         self.rank = 0
         self.hosts_due: Callable[[], bool] = bool
         self.operator_due: Callable[[], bool] = bool
@@ -113,7 +114,7 @@
         self._operator_connection = _StoreConnection(Client(node.loop, store))
         self._has_operator_listing = False
         self._listed_changes: list[Change] = []
-        self._store_return = StoreAvailability()
+        self._store_availability = StoreAvailability()
         node.loop.every(_CHECK_INTERVAL_S, self.check)
 
     def check(self) -> None:
@@ -129,7 +130,7 @@
 
     def absence_is_reliable(self) -> bool:
         """Return whether a host without a record in the store is gone."""
-        return self._store_return.absence_is_reliable(self._node.loop.now)
+        return self._store_availability.absence_is_reliable(self._node.loop.now)
 
     def adopt_configuration(self, raw: bytes, source: str) -> bool:
         """Adopt a configuration if it is newer; return whether it was."""
@@ -182,12 +183,12 @@
             self._list_hosts(page.changes[-1].key)
             return
         now = self._node.loop.now
-        self._store_return.note_read(
-            now, max(self.hosts_seen, self.hosts_seen_by_peer)
+        self._store_availability.note_read(
+            now, max(self.hosts_read_at, self.hosts_read_by_peer_at)
         )
         self.hosts = self._decode_hosts(self._listed_changes)
         self.hosts_revision = page.revision
-        self.hosts_seen = now
+        self.hosts_read_at = now
         self._listed_changes = []
         self._on_hosts()
 
@@ -262,7 +263,7 @@
             self._log_refusal('record.refused', 'operator', error)
             return
         # An empty response does not advance the revision: a watch may miss
-        # changes for a while, and these still follow the old revision.
+        # changes for a while, and they are still read from the old revision on.
         for change in page.changes:
             self.operator_revision = max(
                 self.operator_revision, change.revision
@@ -271,7 +272,7 @@
         self.check()
 
     def _apply_operator_changes(self, changes: list[Change]) -> None:
-        self.operator_seen = self._node.loop.now
+        self.operator_read_at = self._node.loop.now
         evacuated = {EVACUATIONS_PREFIX + name for name in self.evacuated}
         for change in changes:
             if change.key == CONFIGURATION_KEY and change.content is not None:
--- a/siskinbank/relay/gossip.py
+++ b/siskinbank/relay/gossip.py
@@ -36,9 +36,9 @@
 # Interval between hellos to processes that did not answer, in seconds.
 _HELLO_INTERVAL_S = 1.0
 _SWEEP_INTERVAL_S = 5.0
-# An announcement is sent to this many entries at most.
+# Maximum number of entries that an announcement is sent to.
 _MAX_PEERS_PER_TURN = 32
-# Length limit of address lists in messages.
+# Maximum number of addresses in a list in a message.
 _MAX_ADDRESSES = 250
 # Records older than this, in seconds, are not sent in reply to a hello.
 _MAX_RECORD_AGE_S = 1.5
@@ -70,14 +70,14 @@
         self._configuration_transfer = configuration_transfer
         self._last_seen: dict[bytes, float] = {}
         self._stopping: set[bytes] = set()
-        self._operator_seen_by_peer = NEVER
+        self._operator_read_by_peer_at = NEVER
         self._hosts_read_requested = False
         self._announced_version = 0
         follower.hosts_due = self._hosts_due
         follower.operator_due = self._operator_due
-        node.handlers[messages.HELLO] = self._receive_hello
-        node.handlers[messages.PEERS] = self._receive_peers
-        node.handlers[messages.ANNOUNCEMENT] = self._receive_announcement
+        node.handlers[messages.HELLO] = self._handle_hello
+        node.handlers[messages.PEERS] = self._handle_peers
+        node.handlers[messages.ANNOUNCEMENT] = self._handle_announcement
         node.loop.every(_ANNOUNCE_INTERVAL_S, self.announce)
         self._hello_schedule = HelloSchedule(node.loop.now, _HELLO_INTERVAL_S)
         node.loop.every(HELLO_CHECK_INTERVAL_S, self._send_hellos_when_due)
@@ -85,7 +85,7 @@
         self._send_hellos()
 
     def announce(self) -> None:
-        """Announce versions and ages to the other entries; update the rank."""
+        """Announce own versions and ages to other entries; update the rank."""
         datagram = self._announcement().pack()
         for peer in list(self._last_seen)[:_MAX_PEERS_PER_TURN]:
             self._node.send(inet_ntoa(peer), datagram)
@@ -126,19 +126,19 @@
                 self._node.send(inet_ntoa(packed), _HELLO)
 
     def request_hosts_read(self) -> None:
-        """Request an early read of the hosts, regardless of the own rank."""
+        """Request an early read of the hosts, whatever the rank of this entry."""
         self._hosts_read_requested = True
 
     def _hosts_due(self) -> bool:
         follower = self._follower
-        last_confirmed = follower.hosts_seen
+        last_confirmed = follower.hosts_read_at
         if not follower.hosts_revision:
             return True
         max_age_s = hosts_read_age_s(follower.rank)
         if self._hosts_read_requested:
             max_age_s = hosts_read_age_s(0)
         else:
-            last_confirmed = max(last_confirmed, follower.hosts_seen_by_peer)
+            last_confirmed = max(last_confirmed, follower.hosts_read_by_peer_at)
         due = self._node.loop.now - last_confirmed > max_age_s
         if due:
             self._hosts_read_requested = False
@@ -149,7 +149,7 @@
         if not follower.operator_revision:
             return True
         last_confirmed = max(
-            follower.operator_seen, self._operator_seen_by_peer
+            follower.operator_read_at, self._operator_read_by_peer_at
         )
         age = self._node.loop.now - last_confirmed
         return age >= operator_read_age_s(follower.rank)
@@ -174,7 +174,7 @@
             if host is None or now - host.last_seen > _HELLO_INTERVAL_S:
                 self._node.send(ip, _HELLO)
 
-    def _receive_hello(self, raw: bytes, ip: str) -> None:
+    def _handle_hello(self, raw: bytes, ip: str) -> None:
         from_sidecar = len(raw) > 1
         if from_sidecar:
             self.sidecars.add(inet_aton(ip))
@@ -195,7 +195,7 @@
         if record and record.age_s < _MAX_RECORD_AGE_S:
             self._node.send(ip, record.pack())
 
-    def _receive_peers(self, raw: bytes, ip: str) -> None:
+    def _handle_peers(self, raw: bytes, ip: str) -> None:
         entries, sidecars = messages.read_peers(raw)
         for packed in entries:
             if packed not in self._last_seen and packed != self._node.packed_ip:
@@ -203,7 +203,7 @@
                 self._node.send(inet_ntoa(packed), _HELLO)
         self.add_sidecars(sidecars)
 
-    def _receive_announcement(self, raw: bytes, ip: str) -> None:
+    def _handle_announcement(self, raw: bytes, ip: str) -> None:
         announcement = messages.Announcement.read(raw)
         packed = inet_aton(ip)
         self._record_contact(packed)
@@ -214,14 +214,14 @@
         now = self._node.loop.now
         self._configuration_transfer.fetch_if_newer(announcement.version, ip)
         if announcement.version == self._follower.configuration.version:
-            confirmed = now - announcement.operator_age_s
-            self._operator_seen_by_peer = max(
-                self._operator_seen_by_peer, confirmed
+            confirmed_at = now - announcement.operator_age_s
+            self._operator_read_by_peer_at = max(
+                self._operator_read_by_peer_at, confirmed_at
             )
-        confirmed = now - announcement.hosts_age_s
+        confirmed_at = now - announcement.hosts_age_s
         follower = self._follower
-        follower.hosts_seen_by_peer = max(
-            follower.hosts_seen_by_peer, confirmed
+        follower.hosts_read_by_peer_at = max(
+            follower.hosts_read_by_peer_at, confirmed_at
         )
 
     def _record_contact(self, packed: bytes) -> None:
@@ -244,8 +244,8 @@
         announcement = messages.Announcement()
         announcement.stopping = self.stopping
         announcement.version = follower.configuration.version
-        announcement.operator_age_s = now - follower.operator_seen
-        announcement.hosts_age_s = now - follower.hosts_seen
+        announcement.operator_age_s = now - follower.operator_read_at
+        announcement.hosts_age_s = now - follower.hosts_read_at
         return announcement
 
     def _sweep(self) -> None:
--- a/siskinbank/relay/http.py
+++ b/siskinbank/relay/http.py
@@ -150,9 +150,9 @@
             self._finish(0, b'')
             return
         self._received += received
-        answer = _split_message(self._received)
-        if answer:
-            head, body = answer
+        message = _split_message(self._received)
+        if message:
+            head, body = message
             self._finish(_status(head), body)
         elif len(self._received) > _MAX_RESPONSE_BYTES:
             self._finish(0, b'')
@@ -251,8 +251,8 @@
     ) -> None:
         parts = request.split(b' ', 2)
         path = parts[1].decode('latin-1') if len(parts) > 1 else ''
-        answer = self._paths.get(path)
-        status, text = answer() if answer else (404, '')
+        respond = self._paths.get(path)
+        status, text = respond() if respond else (404, '')
         body = text.encode()
         head = (
             f'HTTP/1.1 {status} -\r\n'
--- a/siskinbank/relay/log.py
+++ b/siskinbank/relay/log.py
@@ -53,7 +53,7 @@
         loop.every(_FLUSH_INTERVAL_S, self.flush)
 
     def __call__(self, event: str, **fields: object) -> None:
-        """Log one event with the values that explain it.
+        """Log one event with the values that led to it.
 
         Args:
             event: Event name from the catalogue.
@@ -62,7 +62,8 @@
         if not self._take_token():
             self._dropped += 1
             return
-        # Values have no spaces: readers split a line at spaces.
+        # Values have no spaces: programs that read the log split lines at
+        # spaces.
         pairs = [f'{name}={fields[name]}' for name in fields]
         self._lines.append(
             f'{time():.3f} {EVENTS[event]} {event} {" ".join(pairs)}\n'
@@ -82,8 +83,8 @@
         try:
             written = write_bytes(_STDOUT, unsent)
         except OSError:
-            # Nothing was written: nobody reads the output. The dropped lines
-            # are reported with the next successful write.
+            # Nothing was written, as the pipe is full or closed. The dropped
+            # lines are reported with the next successful write.
             written = 0
         self._drop_unsent(unsent, written)
 
--- a/siskinbank/relay/messages.py
+++ b/siskinbank/relay/messages.py
@@ -19,12 +19,14 @@
 __all__ = (
     'ABSENT',
     'ANNOUNCEMENT',
-    'ASK_CONFIGURATION',
-    'ASK_FLOWS',
     'Announcement',
     'CONFIGURATION',
+    'CONFIGURATION_REQUEST',
     'DRAINING',
+    'DatagramError',
+    'EVACUATED',
     'FLOW_NOTE_BYTES',
+    'FLOW_QUERY',
     'FORWARD',
     'HELD',
     'HELD_UNKNOWN',
@@ -32,11 +34,9 @@
     'MAX_KEYS',
     'MAX_RELAYED',
     'MAX_WAIT_MS',
-    'Malformed',
     'NOT_HELD',
     'OPEN',
-    'OPERATOR',
-    'OUT',
+    'OPERATOR_READ',
     'Opening',
     'PEERS',
     'QUEUED',
@@ -54,13 +54,13 @@
     'pack_forward',
     'pack_keys',
     'pack_piece',
+    'pack_relayed',
     'pack_search',
     'read_flow_note',
     'read_keys',
     'read_peers',
     'read_piece',
     'read_relayed',
-    'relayed',
     'unpack_addresses',
     'wait_ms',
 )
@@ -71,8 +71,8 @@
 FORWARD = 2
 # A packet of a flow whose host is searched for.
 SEARCH = 3
-# Notes of a sidecar to an entry: its host holds a flow, does not hold it, or no
-# host can accept the flow now; see also KEPT.
+# Notes of a sidecar to an entry about one flow: its host holds the flow, does
+# not hold it, or no host can accept it now; see also QUEUED.
 HELD = 4
 ABSENT = 5
 REFUSED = 6
@@ -85,16 +85,16 @@
 # Record of a host from the store, for its sidecar. Request for a configuration
 # and a piece of it.
 RECORD = 11
-ASK_CONFIGURATION = 12
+CONFIGURATION_REQUEST = 12
 CONFIGURATION = 13
-# Query which of some flows a host holds, by key. Replies: flows that it does
-# not hold, and flows of which the sidecar does not know, as it started later
-# than its host.
-ASK_FLOWS = 14
+# Query for the flows, by key, that a host holds. Replies: flows that it does
+# not hold, and flows that it may hold unknown to its sidecar, which started
+# later than the host.
+FLOW_QUERY = 14
 NOT_HELD = 15
 HELD_UNKNOWN = 16
-# Also a note: the sidecar holds a first packet in its queue until a slot is
-# free.
+# Another note: the sidecar has queued the first packet of the flow until a slot
+# is free.
 QUEUED = 17
 # A packet of a flow whose host is searched for, to be forwarded to other hosts.
 RELAYED = 18
@@ -103,22 +103,24 @@
 # data centre; the operator keys have been read.
 REGISTERED = 1
 DRAINING = 2
-OUT = 4
-OPERATOR = 8
+EVACUATED = 4
+OPERATOR_READ = 8
 
 # The largest value of a wait in a message, in milliseconds.
 MAX_WAIT_MS = 0xFFFF
 
 _ADDRESS_BYTES = 4
 _KEY_BYTES = 12
-# Flow keys in one datagram, so that no link fragments it.
+# Maximum number of flow keys in one datagram: fits any link without
+# fragmentation.
 MAX_KEYS = 90
-# Hosts that one sidecar forwards a packet to: takes it a few ms.
+# Maximum number of hosts to which one sidecar forwards a packet: this takes the
+# sidecar a few ms.
 MAX_RELAYED = 64
 _MS_PER_S = 1000
 _MAX_AGE_MS = 0xFFFFFFFF
 
-_OPENING_HEAD = Struct('!BBIQ4sHH4sHB')
+_OPENING_HEADER = Struct('!BBIQ4sHH4sHB')
 _FLOW_NOTE = Struct('!B12sIB')
 _STATUS = Struct('!BIIBHHHQIB')
 _ANNOUNCEMENT = Struct('!BBQII')
@@ -128,12 +130,12 @@
 
 FLOW_NOTE_BYTES = _FLOW_NOTE.size
 
-_CARRY_HEAD = bytes((FORWARD,))
-_SEARCH_HEAD = bytes((SEARCH,))
+_FORWARD_HEADER = bytes((FORWARD,))
+_SEARCH_HEADER = bytes((SEARCH,))
 
 
-class Malformed(ValueError):
-    """A datagram has an invalid format."""
+class DatagramError(ValueError):
+    """A datagram is truncated or has an invalid format."""
 
 
 def digest(name: str) -> int:
@@ -142,21 +144,21 @@
 
 
 def pack_forward(packet: bytes) -> bytes:
-    """Return a CARRY datagram with a packet of a known flow."""
-    return _CARRY_HEAD + packet
+    """Return a FORWARD datagram with a packet of a known flow."""
+    return _FORWARD_HEADER + packet
 
 
 def pack_search(packet: bytes) -> bytes:
     """Return a SEARCH datagram with a packet whose host is unknown."""
-    return _SEARCH_HEAD + packet
+    return _SEARCH_HEADER + packet
 
 
-def relayed(entry: bytes, others: list[bytes], packet: bytes) -> bytes:
+def pack_relayed(entry: bytes, others: list[bytes], packet: bytes) -> bytes:
     """Return a RELAYED datagram with a packet whose host is unknown.
 
     Args:
         entry: Address of the entry that searches for the host.
-        others: Addresses of hosts to forward to, MOST_RELAYED at most.
+        others: Addresses of hosts to forward to, MAX_RELAYED at most.
         packet: The client's packet.
     """
     head = _RELAYED.pack(RELAYED, entry, len(others))
@@ -167,7 +169,7 @@
     """Return the entry, the hosts to forward a packet to, and the packet.
 
     Raises:
-        Malformed: The datagram is truncated.
+        DatagramError: The datagram is truncated.
     """
     _, entry, count = _unpack(_RELAYED, raw)
     start = _RELAYED.size
@@ -182,27 +184,28 @@
         hops: Number of sidecars that have forwarded it.
         service: Digest of the service.
         version: Version of the configuration that the entry used.
-        entry: Address of the entry that is told which host accepted the flow.
-        aim_ms: Target latency of the client's request, in milliseconds.
-        limit_ms: Longest wait at a host, in milliseconds.
+        entry: Address of the entry to which the outcome is reported.
+        target_latency_ms: Target latency of the client's request, in
+            milliseconds.
+        wait_limit_ms: Longest allowed wait at a host, in milliseconds.
         best: Address of the host with the shortest expected wait so far.
-        best_wait_ms: That wait in milliseconds, MOST_WAIT_MS if there is none.
+        best_wait_ms: That wait in milliseconds, MAX_WAIT_MS if there is none.
         candidates: Addresses of further candidate hosts, in order of
             preference.
         packet: The client's packet.
     """
 
     __slots__ = (
-        'aim_ms',
         'best',
         'best_wait_ms',
         'candidates',
         'entry',
         'hops',
-        'limit_ms',
         'packet',
         'service',
+        'target_latency_ms',
         'version',
+        'wait_limit_ms',
     )
 
     def __init__(self, entry: bytes, packet: bytes) -> None:
@@ -212,8 +215,8 @@
         self.hops = 0
         self.service = 0
         self.version = 0
-        self.aim_ms = 0
-        self.limit_ms = 0
+        self.target_latency_ms = 0
+        self.wait_limit_ms = 0
         self.best = entry
         self.best_wait_ms = MAX_WAIT_MS
         self.candidates: list[bytes] = []
@@ -223,29 +226,29 @@
         """Decode a datagram.
 
         Raises:
-            Malformed: The datagram is truncated.
+            DatagramError: The datagram is truncated.
         """
-        fields = _unpack(_OPENING_HEAD, raw)
-        start = _OPENING_HEAD.size
+        fields = _unpack(_OPENING_HEADER, raw)
+        start = _OPENING_HEADER.size
         end = start + fields[-1] * _ADDRESS_BYTES
         opening = cls(fields[4], raw[end:])
         opening.hops, opening.service, opening.version = fields[1:4]
-        opening.aim_ms, opening.limit_ms = fields[5:7]
+        opening.target_latency_ms, opening.wait_limit_ms = fields[5:7]
         opening.best, opening.best_wait_ms = fields[7:9]
         opening.candidates = unpack_addresses(raw[start:end])
         return opening
 
     @property
     def best_wait_s(self) -> float | None:
-        """The shortest expected wait so far in seconds, None if unset."""
+        """The shortest expected wait so far in seconds, None without one."""
         if self.best_wait_ms == MAX_WAIT_MS:
             return None
         return self.best_wait_ms / _MS_PER_S
 
     @property
     def exceeds_limit(self) -> bool:
-        """Whether the shortest expected wait exceeds the limit."""
-        return self.limit_ms < self.best_wait_ms < MAX_WAIT_MS
+        """Whether the shortest expected wait exceeds the allowed one."""
+        return self.wait_limit_ms < self.best_wait_ms < MAX_WAIT_MS
 
     def pop_next(self) -> str:
         """Remove the next candidate; return its address as text."""
@@ -253,14 +256,14 @@
 
     def pack(self) -> bytes:
         """Return the encoded datagram."""
-        head = _OPENING_HEAD.pack(
+        head = _OPENING_HEADER.pack(
             OPEN,
             self.hops,
             self.service,
             self.version,
             self.entry,
-            self.aim_ms,
-            self.limit_ms,
+            self.target_latency_ms,
+            self.wait_limit_ms,
             self.best,
             self.best_wait_ms,
             len(self.candidates),
@@ -274,9 +277,9 @@
     """Return a datagram with a note about one flow.
 
     Args:
-        kind: HELD, ABSENT, REFUSED or KEPT.
+        kind: HELD, ABSENT, REFUSED or QUEUED.
         key: Flow key.
-        number: The host's first sequence number, 0 if unknown.
+        number: The host's initial sequence number, 0 if unknown.
         reason: Reason of a refusal, see ``admission.reasons``; with HELD
             whether the flow is established at the host.
     """
@@ -284,10 +287,10 @@
 
 
 def read_flow_note(raw: bytes) -> tuple[bytes, int, int]:
-    """Return flow key, the host's sequence number and reason of a note.
+    """Return flow key, initial sequence number and reason of a note.
 
     Raises:
-        Malformed: The datagram is truncated.
+        DatagramError: The datagram is truncated.
     """
     _, key, number, reason = _unpack(_FLOW_NOTE, raw)
     return key, number, reason
@@ -297,8 +300,8 @@
     """Return a datagram with several flow keys.
 
     Args:
-        kind: ASK_FLOWS, NOT_HELD or UNSURE.
-        keys: Flow keys, MOST_KEYS at most.
+        kind: FLOW_QUERY, NOT_HELD or HELD_UNKNOWN.
+        keys: Flow keys, MAX_KEYS at most.
     """
     return bytes((kind,)) + b''.join(keys)
 
@@ -318,7 +321,7 @@
         state: 0 if the host accepts new flows, otherwise the reason why not,
             see ``admission.reasons``.
         slots: Number of requests that the host processes concurrently.
-        busy: Number of requests in progress.
+        busy: Number of requests in progress, expected and queued.
         flows: Number of open flows.
         version: Newest configuration version that the sidecar has received.
         record_age_ms: Age of the host's record from the store, in
@@ -356,7 +359,7 @@
         """Decode a datagram.
 
         Raises:
-            Malformed: The datagram is truncated.
+            DatagramError: The datagram is truncated.
         """
         fields = _unpack(_STATUS, raw)
         status = cls(fields[1], fields[2])
@@ -416,7 +419,7 @@
         """Decode a datagram.
 
         Raises:
-            Malformed: The datagram is truncated.
+            DatagramError: The datagram is truncated.
         """
         fields = _unpack(_ANNOUNCEMENT, raw)
         announcement = cls()
@@ -441,7 +444,7 @@
     """State of a host and its data centre according to the store.
 
     Attributes:
-        flags: Bits, see the constants of this module.
+        flags: Bit mask of REGISTERED, DRAINING, EVACUATED and OPERATOR_READ.
         service: Digest of the service in the host's record.
         age_s: Seconds since the store confirmed the record.
         slots: Number of requests that the host processes concurrently.
@@ -484,7 +487,7 @@
         """Decode a datagram.
 
         Raises:
-            Malformed: The datagram is truncated.
+            DatagramError: The datagram is truncated.
         """
         fields = _unpack(_RECORD, raw)
         record = cls()
@@ -514,7 +517,7 @@
 
 
 def wait_ms(seconds: float) -> int:
-    """Return a wait in milliseconds, capped below MOST_WAIT_MS."""
+    """Return a wait in milliseconds, capped below MAX_WAIT_MS."""
     return min(int(seconds * _MS_PER_S), MAX_WAIT_MS - 1)
 
 
@@ -551,7 +554,7 @@
     """Return version, index, number of pieces and the piece itself.
 
     Raises:
-        Malformed: The datagram is truncated.
+        DatagramError: The datagram is truncated.
     """
     _, version, index, count = _unpack(_PIECE, raw)
     return version, index, count, raw[_PIECE.size :]
@@ -565,4 +568,6 @@
     try:
         return layout.unpack_from(raw)
     except StructError:
-        raise Malformed(f'datagram of {len(raw)} bytes is too short') from None
+        raise DatagramError(
+            f'datagram of {len(raw)} bytes is too short'
+        ) from None
--- a/siskinbank/relay/node.py
+++ b/siskinbank/relay/node.py
@@ -1,4 +1,4 @@
-"""Common base of entry and sidecar: sockets, settings, signals, metrics."""
+"""Process environment of entry and sidecar: sockets, settings, signals."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 from siskinbank.relay.http import Server
 from siskinbank.relay.log import Log, without_spaces
 from siskinbank.relay.loop import Loop
-from siskinbank.relay.messages import Malformed
+from siskinbank.relay.messages import DatagramError
 from siskinbank.relay.meters import Meters
 
 TYPE_CHECKING = False
@@ -40,7 +40,7 @@
 # The metrics port named in deploy/system.toml.
 METRICS_PORT = 9464
 
-# The longest datagram: a packet, its message head and the candidates.
+# The longest datagram: a packet, its message header and the candidates.
 _MAX_DATAGRAM_BYTES = 4096
 # Interval between reloads of the settings, in seconds. Settings may change
 # without a signal, and a start without seeds waits until they are added.
@@ -60,8 +60,8 @@
         settings: Settings in force.
         packed_ip: IP address of this process as 4 bytes.
         handlers: Handlers of peer messages, by message kind.
-        ready: Returns whether the readiness probe succeeds.
-        stopping: Called on SIGTERM.
+        is_ready: Returns whether the readiness probe succeeds.
+        on_stop: Called on SIGTERM; stops the process by default.
     """
 
     def __init__(self, path: str) -> None:
@@ -71,8 +71,9 @@
             path: Path of the settings file.
 
         Raises:
-            OSError: The settings cannot be read or an address not be bound.
-            Unreadable: The settings are invalid.
+            OSError: The settings cannot be read, or an address cannot be
+                bound.
+            DocumentError: The settings are invalid.
         """
         self.loop = Loop()
         self.log = Log(self.loop)
@@ -80,8 +81,8 @@
         self.settings = read_settings(path)
         self.packed_ip = inet_aton(self.settings.ip)
         self.handlers: dict[int, Handler] = {}
-        self.ready: Callable[[], bool] = bool
-        self.stopping: Callable[[], None] = self.stop
+        self.is_ready: Callable[[], bool] = bool
+        self.on_stop: Callable[[], None] = self.stop
         self._path = path
         self._stop_requested = False
         self._reload_requested = False
@@ -182,7 +183,7 @@
             return
         try:
             handler(datagram, sender)
-        except Malformed as error:
+        except DatagramError as error:
             self.meters.count('peer_datagrams_refused_total')
             self.log(
                 'packet.refused',
@@ -191,7 +192,7 @@
             )
 
     def _readiness(self) -> tuple[int, str]:
-        return (200, '') if self.ready() else (503, '')
+        return (200, '') if self.is_ready() else (503, '')
 
     def _serve_metrics(self) -> None:
         address = (self.settings.ip, METRICS_PORT)
@@ -219,7 +220,7 @@
         if self._stop_requested:
             self._stop_requested = False
             self.log('process.stopping', instance=self.settings.instance)
-            self.stopping()
+            self.on_stop()
 
     def _log_fault(self, fault: Exception) -> None:
         """Log an unexpected exception with the file and line of its origin."""
--- a/siskinbank/relay/records.py
+++ b/siskinbank/relay/records.py
@@ -19,18 +19,18 @@
     """Return the record message for the host at an IP address.
 
     Returns:
-        None if the host has no record in the store and its absence does not
-        yet show that it is gone.
+        None if the host has no record in the store, but may be registered
+        again after an outage of the store.
     """
     host = follower.hosts.get(ip)
     if host is None and not follower.absence_is_reliable():
         return None
     record = messages.Record()
     record.revision = follower.hosts_revision
-    record.age_s = now - follower.hosts_seen
+    record.age_s = now - follower.hosts_read_at
     record.version = follower.configuration.version
     if follower.operator_revision:
-        record.flags |= messages.OPERATOR
+        record.flags |= messages.OPERATOR_READ
         record.operator_revision = follower.operator_revision
     if host is None:
         return record
@@ -38,7 +38,7 @@
     if host.draining:
         record.flags |= messages.DRAINING
     if host.data_centre in follower.evacuated:
-        record.flags |= messages.OUT
+        record.flags |= messages.EVACUATED
     record.service = messages.digest(host.service)
     record.slots = host.slots
     record.born_ms = host.born_ms
--- a/siskinbank/relay/sidecar.py
+++ b/siskinbank/relay/sidecar.py
@@ -25,7 +25,7 @@
     open_udp_socket,
     read_datagrams,
 )
-from siskinbank.relay.flow_admission import FlowAdmission, check_packet_head
+from siskinbank.relay.flow_admission import FlowAdmission, check_packet_header
 from siskinbank.relay.follower import StoreFollower
 from siskinbank.relay.node import Node
 from siskinbank.relay.records import record_for
@@ -55,8 +55,8 @@
 # platform kills the process after six.
 _STOP_TIMEOUT_S = 4.0
 _STOP_CHECK_INTERVAL_S = 0.05
-# Delay before a planned stop, in seconds, during which new flows go to other
-# hosts.
+# Minimum duration of a planned stop, in seconds: time for new flows to go to
+# other hosts.
 _STOP_DELAY_S = 0.15
 
 
@@ -71,14 +71,16 @@
 
         Raises:
             OSError: If a socket can't be opened, or the settings lack the
-                addresses of the host.
+                host address or the outbound address.
         """
         self._node = node
         settings = node.settings
         if settings.host_address is None or settings.outbound_address is None:
-            raise OSError('settings lack the address or output of the host')
+            raise OSError(
+                'settings lack the host address or the outbound address'
+            )
         self._flows: dict[bytes, TrackedFlow] = {}
-        self._waiting: dict[bytes, PendingPacket] = {}
+        self._unanswered: dict[bytes, PendingPacket] = {}
         self._stop_at: float = 0
         self._started = node.loop.now
         service = messages.digest(settings.service or '')
@@ -90,9 +92,11 @@
         )
         self._follower.hosts_due = self._hosts_due
         self._follower.operator_due = self._operator_due
-        self._outbound = open_udp_socket(settings.outbound_address)
-        self._packets = open_udp_socket((settings.ip, settings.packet_port))
-        self._inbound = connect_udp_socket(settings.host_address)
+        self._outbound_socket = open_udp_socket(settings.outbound_address)
+        self._client_socket = open_udp_socket(
+            (settings.ip, settings.packet_port)
+        )
+        self._inbound_socket = connect_udp_socket(settings.host_address)
         self._reporter = StatusReporter(
             node,
             self._host,
@@ -104,26 +108,28 @@
             self._host,
             self._reporter,
             self._flows,
-            self._waiting,
+            self._unanswered,
             self._deliver,
         )
         self._tracker.on_end = self._admission.release
-        node.ready = lambda: not self._host.stopping
-        node.stopping = self._begin_stop
-        node.handlers[messages.FORWARD] = self._handle_carry
+        node.is_ready = lambda: not self._host.stopping
+        node.on_stop = self._begin_stop
+        node.handlers[messages.FORWARD] = self._handle_forward
         node.handlers[messages.SEARCH] = self._handle_search
         node.handlers[messages.RELAYED] = self._handle_relayed
-        node.handlers[messages.ASK_FLOWS] = self._handle_ask
+        node.handlers[messages.FLOW_QUERY] = self._handle_flow_query
         node.handlers[messages.RECORD] = self._handle_record
-        node.loop.watch(self._outbound.fileno(), self._read_host)
-        node.loop.watch(self._inbound.fileno(), self._read_socket_error)
+        node.loop.watch(self._outbound_socket.fileno(), self._read_host)
+        node.loop.watch(self._inbound_socket.fileno(), self._read_socket_error)
         node.loop.every(_SWEEP_INTERVAL_S, self._sweep)
         node.loop.on_stall(self._on_stall)
 
     # Packets from the host.
 
     def _read_host(self, events: int) -> None:
-        read_datagrams(self._outbound, MAX_PACKET_BYTES + 1, self._check_packet)
+        read_datagrams(
+            self._outbound_socket, MAX_PACKET_BYTES + 1, self._check_packet
+        )
 
     def _check_packet(self, packet: bytes, address: tuple[str, int]) -> None:
         if len(packet) < HEAD_BYTES:
@@ -136,14 +142,14 @@
     def _forward_to_client(self, packet: bytes) -> None:
         key = reverse_flow_key(packet)
         flags = flags_of(packet)
-        waiting = self._waiting.pop(key, None)
+        unanswered = self._unanswered.pop(key, None)
         flow = self._flows.get(key)
         if flow is None:
-            if waiting and waiting.searching and flags & RST:
-                # Not a flow of this host; another one is queried as well.
-                self._send_not_held(key, waiting)
+            if unanswered and unanswered.searching and flags & RST:
+                # Not a flow of this host; others are searched as well.
+                self._send_not_held(key, unanswered)
                 return
-            flow = self._add_flow(key, waiting)
+            flow = self._add_flow(key, unanswered)
         if flags & SYN:
             flow.number = sequence_numbers(packet)[0]
             self._host.note_opened()
@@ -152,45 +158,45 @@
             self._tracker.track_answer(key, flow, packet)
             if flags & (FIN | RST) and not flow.ended:
                 flow.ended = self._node.loop.now
-        if waiting or flags & SYN:
+        if unanswered or flags & SYN:
             self._send_held(key, flow)
         try:
-            self._packets.sendto(packet, flow.client)
+            self._client_socket.sendto(packet, flow.client)
         except OSError:
             self._node.meters.count('send_errors_total')
 
     def _add_flow(
-        self, key: bytes, waiting: PendingPacket | None
+        self, key: bytes, unanswered: PendingPacket | None
     ) -> TrackedFlow:
-        """Add the flow of a first packet from the host to the table."""
+        """Add a flow when its host sends the first packet."""
         client = (client_address(key), self._node.settings.packet_port)
-        entry = waiting.entry if waiting else ''
+        entry = unanswered.entry if unanswered else ''
         flow = TrackedFlow(entry, client, self._node.loop.now)
         self._flows[key] = flow
-        if waiting and not flags_of(waiting.packet) & SYN:
-            self._tracker.track_packet(key, flow, waiting.packet)
+        if unanswered and not flags_of(unanswered.packet) & SYN:
+            self._tracker.track_packet(key, flow, unanswered.packet)
         return flow
 
     # Packets that the host refuses.
 
     def _handle_bounced(self, packet: bytes) -> None:
         key = packet[FLOW_KEY]
-        waiting = self._waiting.pop(key, None)
+        unanswered = self._unanswered.pop(key, None)
         if flags_of(packet) & SYN:
-            self._admission.note_host_refusal(key, waiting)
+            self._admission.note_host_refusal(key, unanswered)
             return
         flow = self._flows.pop(key, None)
         if flow is None:
-            if waiting:
-                waiting.packet = packet
-                self._send_not_held(key, waiting)
+            if unanswered:
+                unanswered.packet = packet
+                self._send_not_held(key, unanswered)
             return
         self._tracker.end(key, flow, 'lost')
         if flow.ended:
             return
         if flow.established:
-            # The host worked on the flow before and has lost its state.
-            self._node.reset_flow(self._packets, packet, 'host-forgot')
+            # The host answered the flow before and has lost its state.
+            self._node.reset_flow(self._client_socket, packet, 'host-forgot')
         elif flow.entry:
             self._send_absent(key, flow.entry, packet)
 
@@ -204,13 +210,13 @@
             )
             self._node.send(flow.entry, note)
 
-    def _send_not_held(self, key: bytes, waiting: PendingPacket) -> None:
+    def _send_not_held(self, key: bytes, unanswered: PendingPacket) -> None:
         """Answer a query for a flow that the host doesn't hold."""
-        if waiting.relayed:
+        if unanswered.relayed:
             note = messages.pack_keys(messages.NOT_HELD, [key])
-            self._node.send(waiting.entry, note)
+            self._node.send(unanswered.entry, note)
         else:
-            self._send_absent(key, waiting.entry, waiting.packet)
+            self._send_absent(key, unanswered.entry, unanswered.packet)
 
     def _send_absent(self, key: bytes, entry: str, packet: bytes) -> None:
         note = messages.pack_flow_note(messages.ABSENT, key, 0)
@@ -218,21 +224,21 @@
 
     # Other packets from clients.
 
-    def _handle_carry(self, raw: bytes, ip: str) -> None:
-        self._forward_to_host(check_packet_head(raw[1:]), ip, searching=False)
+    def _handle_forward(self, raw: bytes, ip: str) -> None:
+        self._forward_to_host(check_packet_header(raw[1:]), ip, searching=False)
 
     def _handle_search(self, raw: bytes, ip: str) -> None:
-        self._forward_to_host(check_packet_head(raw[1:]), ip, searching=True)
+        self._forward_to_host(check_packet_header(raw[1:]), ip, searching=True)
 
     def _handle_relayed(self, raw: bytes, ip: str) -> None:
         entry, others, packet = messages.read_relayed(raw)
-        datagram = messages.relayed(entry, [], check_packet_head(packet))
+        datagram = messages.pack_relayed(entry, [], check_packet_header(packet))
         for other in others:
             self._node.send(inet_ntoa(other), datagram)
         origin = inet_ntoa(entry)
         self._forward_to_host(packet, origin, searching=True, relayed=True)
 
-    def _handle_ask(self, raw: bytes, ip: str) -> None:
+    def _handle_flow_query(self, raw: bytes, ip: str) -> None:
         unknown: list[bytes] = []
         for key in messages.read_keys(raw):
             flow = self._flows.get(key)
@@ -242,8 +248,8 @@
             else:
                 unknown.append(key)
         if unknown:
-            whole = self._host.knows_all_flows(self._node.loop.now)
-            kind = messages.NOT_HELD if whole else messages.HELD_UNKNOWN
+            complete = self._host.has_observed_all_flows(self._node.loop.now)
+            kind = messages.NOT_HELD if complete else messages.HELD_UNKNOWN
             self._node.send(ip, messages.pack_keys(kind, unknown))
 
     def _forward_to_host(
@@ -256,10 +262,10 @@
         key = packet[FLOW_KEY]
         flow = self._flows.get(key)
         if flow is None:
-            waiting = PendingPacket(entry, self._node.loop.now, packet)
-            waiting.searching = searching
-            waiting.relayed = relayed
-            self._waiting[key] = waiting
+            unanswered = PendingPacket(entry, self._node.loop.now, packet)
+            unanswered.searching = searching
+            unanswered.relayed = relayed
+            self._unanswered[key] = unanswered
         else:
             flow.entry = entry
             if searching:
@@ -271,7 +277,7 @@
 
     def _deliver(self, packet: bytes) -> None:
         try:
-            self._inbound.send(packet)
+            self._inbound_socket.send(packet)
         except ConnectionRefusedError:
             self._handle_host_unreachable()
         except OSError:
@@ -279,7 +285,7 @@
 
     def _read_socket_error(self, events: int) -> None:
         try:
-            self._inbound.recv(1)
+            self._inbound_socket.recv(1)
         except ConnectionRefusedError:
             self._handle_host_unreachable()
         except OSError:
@@ -296,7 +302,9 @@
         for key, flow in flows:
             self._tracker.end(key, flow, 'host-gone')
             if flow.established and flow.head and not flow.ended:
-                self._node.reset_flow(self._packets, flow.head, 'host-gone')
+                self._node.reset_flow(
+                    self._client_socket, flow.head, 'host-gone'
+                )
         self._reporter.send_status()
 
     # Known state of the host.
@@ -310,7 +318,7 @@
         before = host.record
         if not host.apply_record(record, self._node.loop.now):
             return
-        self._follower.hosts_seen_by_peer = host.confirmed
+        self._follower.hosts_read_by_peer_at = host.confirmed_at
         restarted = before and record.born_ms not in {0, before.born_ms}
         if before and before.born_ms and restarted:
             self._drop_flows()
@@ -335,16 +343,16 @@
             self._tracker.end(key, flow, 'host-restarted')
 
     def _hosts_due(self) -> bool:
-        return self._should_read_store(self._follower.hosts_seen)
+        return self._should_read_store(self._follower.hosts_read_at)
 
     def _operator_due(self) -> bool:
-        return self._should_read_store(self._follower.operator_seen)
+        return self._should_read_store(self._follower.operator_read_at)
 
-    def _should_read_store(self, seen: float) -> bool:
-        """Return whether to read the store, as no entry sent its state."""
+    def _should_read_store(self, own_read_at: float) -> bool:
+        """Return whether to read the store, as no entry sends records."""
         now = self._node.loop.now
         return sidecar_should_read(
-            now, self._started, self._host.confirmed, seen
+            now, self._started, self._host.confirmed_at, own_read_at
         )
 
     def _on_store_read(self) -> None:
@@ -358,8 +366,8 @@
 
     # Stalls, shutdown and timeouts.
 
-    def _on_stall(self, lost: float) -> None:
-        self._host.expect_record(self._node.loop.now)
+    def _on_stall(self, stalled_s: float) -> None:
+        self._host.wait_for_record(self._node.loop.now)
 
     def _begin_stop(self) -> None:
         self._host.stopping = True
@@ -382,15 +390,15 @@
             if outcome == _IDLE:
                 self._flows.pop(key)
         cutoff = now - _UNANSWERED_TTL_S
-        for key, waiting in list(self._waiting.items()):
-            if waiting.seen < cutoff:
-                self._waiting.pop(key)
+        for key, unanswered in list(self._unanswered.items()):
+            if unanswered.seen < cutoff:
+                self._unanswered.pop(key)
 
 
 def _timeout_outcome(flow: TrackedFlow, now: float) -> str:
     """Return the outcome of a flow that has timed out, empty if it hasn't."""
-    ended = flow.ended and now - flow.ended > _ENDED_FLOW_TTL_S
-    if ended or now - flow.seen > _IDLE_TIMEOUT_S:
+    expired = flow.ended and now - flow.ended > _ENDED_FLOW_TTL_S
+    if expired or now - flow.seen > _IDLE_TIMEOUT_S:
         return _IDLE
     # The client has abandoned the request. The slot may still be in use, but
     # the host must not count as busy without limit.
--- a/siskinbank/relay/status_reporter.py
+++ b/siskinbank/relay/status_reporter.py
@@ -23,7 +23,8 @@
 # Interval of status updates, in seconds: a third of the time after which an
 # entry treats a sidecar as silent.
 _STATUS_INTERVAL_S = 0.4
-# Maximum number of entries per turn; the next turn goes to further entries.
+# Maximum number of entries per turn; the next turn updates the entries after
+# them.
 _MAX_ENTRIES_PER_TURN = 32
 # An entry without a message for this time, in seconds, gets no more updates.
 _ENTRY_TTL_S = 30.0
@@ -31,6 +32,7 @@
 # of its host.
 _HELLO_INTERVAL_S = 0.5
 _SWEEP_INTERVAL_S = 5.0
+# Largest count that fits into a status message.
 _MAX_COUNT = 0xFFFF
 
 _SIDECAR_HELLO = bytes((messages.HELLO, 1))
@@ -111,7 +113,8 @@
     def _handle_hello(self, raw: bytes, ip: str) -> None:
         self.note_entry(ip)
         self._node.send(ip, self._status().pack())
-        # Seeds may be down, so entries also discover each other by sidecars.
+        # Seeds may be down, so entries also discover each other through
+        # sidecars.
         entries = [inet_aton(entry) for entry in self._entries]
         peers = messages.pack_addresses(messages.PEERS, entries, [])
         self._node.send(ip, peers)
--- a/siskinbank/tracking/configuration.py
+++ b/siskinbank/tracking/configuration.py
@@ -12,16 +12,16 @@
 
 # Fast compression: each process that forwards a configuration compresses it
 # once.
-_LEVEL = 1
+_COMPRESSION_LEVEL = 1
 
 
 class Configuration:
     """The configuration in force, replaced only by complete newer versions.
 
     Attributes:
-        version: 0 until one is known.
-        routes: by address and port, as in a flow's key.
-        warmths: cold start limits of the services, by name.
+        version: Version number, 0 without a configuration.
+        routes: Routes by address and port, as in a flow key.
+        warm_ups: Limits of the services after a cold start, by service name.
     """
 
     __slots__ = ('_packed', '_raw', 'routes', 'version', 'warm_ups')
@@ -38,17 +38,18 @@
     def packed(self) -> bytes:
         """The compressed document, as it is sent to peers."""
         if not self._packed:
-            self._packed = compress(self._raw, _LEVEL)
+            self._packed = compress(self._raw, _COMPRESSION_LEVEL)
         return self._packed
 
     def offer(self, raw: bytes) -> bool:
         """Apply a configuration if it is newer; return whether it was applied.
 
         Args:
-            raw: the operator's document.
+            raw: The operator's document.
 
         Raises:
-            Unreadable: it is incomplete; the one in force stays.
+            DocumentError: The document is invalid; the configuration in force
+                is kept.
         """
         version, routes, warm_ups = decode_configuration(raw)
         if version <= self.version:
@@ -64,7 +65,8 @@
         """Apply a compressed configuration from a peer if it is newer.
 
         Raises:
-            Unreadable: it is damaged; the one in force stays.
+            DocumentError: The document is damaged; the configuration in force
+                is kept.
         """
         try:
             raw = decompress(packed)
--- a/siskinbank/tracking/hosts.py
+++ b/siskinbank/tracking/hosts.py
@@ -18,10 +18,10 @@
 # A host that is no longer in the store counts as gone this long after its last
 # update, in seconds: one missed update.
 _GONE_AFTER_S = 0.6
-# Longer intervals are cut to this, in seconds: they come from a network
-# partition or a stalled process.
+# Maximum of the usual interval, in seconds: longer intervals come from a
+# network partition or a stalled process.
 _MAX_INTERVAL_S = 2.0
-# Share of a long interval that remains in the usual one after another update.
+# Factor by which the usual interval decays with each update.
 _INTERVAL_DECAY = 0.8
 
 
@@ -29,14 +29,15 @@
     """The known state of one host.
 
     Attributes:
-        ip: its address as text.
-        packed: the same in 4 bytes.
-        status: the last status from its sidecar.
-        heard: when that was received.
-        heard_first: when the first one was received.
-        pending: flows placed there since.
-        left: it became silent and is known to be gone.
-        pause_s: the usual interval between its sidecar's updates in seconds.
+        ip: IP address as text.
+        packed: IP address as 4 bytes.
+        status: Last status from its sidecar.
+        last_seen: Time when that status was received, in seconds.
+        first_seen: Time when the first status was received, in seconds.
+        pending: Number of flows placed there since the last status.
+        left: Whether it is silent and known to be gone.
+        usual_interval_s: Usual interval between its sidecar's updates, in
+            seconds: the longest recent one, which decays with each update.
     """
 
     __slots__ = (
@@ -62,14 +63,14 @@
         self.usual_interval_s: float = 0
 
     def has_left(self, now: float) -> bool:
-        """Return whether a host without an entry in the store became silent."""
+        """Return whether the host is silent and has no record in the store."""
         if self.status.state == reasons.UNREGISTERED:
             self.left = self.left or now - self.last_seen > _GONE_AFTER_S
         return self.left
 
 
 class HostTable:
-    """All hosts that an entry has received a status of."""
+    """All hosts of which an entry has received a status."""
 
     __slots__ = ('_by_ip', '_by_service')
 
@@ -87,7 +88,7 @@
         return list(self._by_ip.values())
 
     def get(self, ip: str) -> TrackedHost | None:
-        """Return the host at an address."""
+        """Return the host at an address, None if it is unknown."""
         return self._by_ip.get(ip)
 
     def of_service(self, service: int) -> list[TrackedHost]:
@@ -105,9 +106,9 @@
         changed = (
             previous.state != status.state or now - host.last_seen > SILENT_S
         )
-        pause = min(now - host.last_seen, _MAX_INTERVAL_S)
+        interval_s = min(now - host.last_seen, _MAX_INTERVAL_S)
         host.usual_interval_s = max(
-            pause, host.usual_interval_s * _INTERVAL_DECAY
+            interval_s, host.usual_interval_s * _INTERVAL_DECAY
         )
         host.status = status
         host.last_seen = now
--- a/siskinbank/tracking/own_host.py
+++ b/siskinbank/tracking/own_host.py
@@ -15,7 +15,7 @@
 
 __all__ = ('OwnHost',)
 
-# An unreachable host is tried again after this, in seconds.
+# Time after which an unreachable host is tried again, in seconds.
 _UNREACHABLE_S = 1.0
 # After a start or a stall, the sidecar waits this long for a record from the
 # store, in seconds, before it uses the old state again.
@@ -32,17 +32,19 @@
     """State of the host beside a sidecar.
 
     Attributes:
-        service: digest of the service that the sidecar was set up for.
-        record: the last record from the store, None before the first one.
-        confirmed: when the store confirmed it.
-        version: the newest configuration version that was announced.
-        stopping: the sidecar is about to stop.
-        busy: requests in progress.
-        work: the host's mean processing time of a request.
-        arriving: accepted flows whose first request has not arrived yet.
-        room: the learned capacity of the host's queue.
-        has_accepted_flow: it has accepted a flow that this process saw.
-        refusing: whether it refuses all new flows.
+        service: Digest of the service in the sidecar's settings.
+        record: Last record from the store, None before the first one.
+        confirmed_at: Time when the store confirmed the record, in seconds.
+        version: Newest configuration version that was announced.
+        stopping: Whether the sidecar is about to stop.
+        busy: Number of requests in progress.
+        processing_time: Mean processing time of a request at the host.
+        expected_requests: Accepted flows whose first request has not arrived
+            yet.
+        queue_capacity: Learned capacity of the host's queue.
+        refusal_backoff: Pauses new flows while the host refuses all of them.
+        has_accepted_flow: Whether the host has accepted a flow since this
+            process started or last found it unreachable.
     """
 
     __slots__ = (
@@ -54,7 +56,7 @@
         '_started_ms',
         '_unreachable_at',
         'busy',
-        'confirmed',
+        'confirmed_at',
         'expected_requests',
         'has_accepted_flow',
         'processing_time',
@@ -70,14 +72,14 @@
         """Initialize the state without a record.
 
         Args:
-            service: digest of the service that the sidecar was set up for.
-            now: time in seconds on the clock that counts suspension.
-            started_ms: the time of day of the sidecar's start, comparable to
-                the start time that hosts report.
+            service: Digest of the service in the sidecar's settings.
+            now: Time in seconds on the clock that counts suspension.
+            started_ms: Wall-clock time of the sidecar's start in milliseconds,
+                comparable to the start time that hosts report.
         """
         self.service = service
         self.record: messages.Record | None = None
-        self.confirmed = NEVER
+        self.confirmed_at = NEVER
         self.version = 0
         self.stopping = False
         self.busy = 0
@@ -96,7 +98,7 @@
 
     @property
     def slots(self) -> int:
-        """How many requests the host processes at a time."""
+        """Number of requests that the host processes concurrently."""
         return self.record.slots if self.record else 1
 
     @property
@@ -106,9 +108,9 @@
 
     def age_ms(self, now: float) -> int:
         """Return the age of the record in milliseconds, -1 without one."""
-        return int((now - self.confirmed) * 1000) if self.record else -1
+        return int((now - self.confirmed_at) * 1000) if self.record else -1
 
-    def expects_record(self, now: float) -> bool:
+    def is_waiting_for_record(self, now: float) -> bool:
         """Return whether the sidecar still waits for a new record."""
         return now < self._record_wait_until
 
@@ -117,13 +119,13 @@
 
         Otherwise other hosts are preferred: after a power failure a machine
         may be back whose host has been replaced. A host without a record is
-        trusted once it has accepted a flow: its entry may have expired during
-        a network partition, and is registered again only with its next
-        heartbeat.
+        trusted once it has accepted a flow: its record in the store may have
+        expired during a network partition, and the host is registered again
+        only with its next heartbeat.
         """
         if self.record is None:
             return self.has_accepted_flow
-        return not self.expects_record(now)
+        return not self.is_waiting_for_record(now)
 
     def request_count(self, now: float) -> int:
         """Return the number of requests in progress and expected."""
@@ -138,7 +140,7 @@
         self.has_accepted_flow = True
         self.refusal_backoff.note_accepted()
 
-    def knows_all_flows(self, now: float) -> bool:
+    def has_observed_all_flows(self, now: float) -> bool:
         """Return whether the sidecar has seen all flows of the host.
 
         It has if it has observed the host for longer than flows may be idle,
@@ -149,22 +151,23 @@
         started_together = born_ms > self._started_ms - _JOINT_START_MS
         return started_together or now - self._observed_since > _OBSERVED_S
 
-    def expect_record(self, now: float) -> None:
+    def wait_for_record(self, now: float) -> None:
         """Wait for a new record after a stall."""
         self._record_wait_until = now + _RECORD_WAIT_S
 
     def apply_record(self, record: messages.Record, now: float) -> bool:
         """Apply a record unless it is older; return whether it was applied.
 
-        The hosts' entries and the operator's keys have separate revisions: a
-        reader may have a newer state of the one and an older of the other.
+        The host records and the operator keys have separate revisions: a
+        reader may have a newer state of the one and an older state of the
+        other.
         """
         previous = self.record
         self.version = max(self.version, record.version)
         if previous and record.revision < previous.revision:
             return False
         if previous and record.operator_revision < self._operator_revision:
-            operator_flags = messages.OUT | messages.OPERATOR
+            operator_flags = messages.EVACUATED | messages.OPERATOR_READ
             record.flags = (
                 record.flags & ~operator_flags | previous.flags & operator_flags
             )
@@ -176,7 +179,7 @@
             self._observed_since = now
             self.refusal_backoff.note_accepted()
         self.record = record
-        self.confirmed = now - record.age_s
+        self.confirmed_at = now - record.age_s
         self._cold_until = now + record.cold_s if record.cold_s else NEVER
         self._record_wait_until = NEVER
         return True
@@ -189,7 +192,7 @@
         return newly_unreachable
 
     def state(self, now: float) -> int:
-        """Return why no entry should choose this host, or NONE."""
+        """Return the reason why entries should avoid this host, or NONE."""
         return self._persistent_reason(self.service, now)
 
     def is_full(self, now: float) -> bool:
@@ -203,31 +206,33 @@
         """Return how long a new request would wait for a slot, in seconds.
 
         Args:
-            now: time in seconds on the clock that counts suspension.
-            ahead: queued flows that get a slot before it.
+            now: Time in seconds on the clock that counts suspension.
+            ahead: Number of queued flows that get a slot before it.
         """
         return self.processing_time.wait_s(
             self.request_count(now) + ahead, self.slots
         )
 
     def refusal_reason(self, service: int, now: float) -> int:
-        """Return why the host accepts no flow at this moment, or NONE.
+        """Return the reason why the host accepts no flow now, or NONE.
 
-        Queued requests are no such reason; see ``wait_s``.
+        A wait for a free slot is not a reason; see ``wait_s``.
 
         Args:
-            service: digest of the service that the flow belongs to.
-            now: time in seconds on the clock that counts suspension.
+            service: Digest of the service that the flow belongs to.
+            now: Time in seconds on the clock that counts suspension.
         """
         persistent = self._persistent_reason(service, now)
         if persistent:
             return persistent
-        return reasons.COLD if self.spare(now) == 0 else reasons.NONE
+        return reasons.COLD if self.cold_flows_left(now) == 0 else reasons.NONE
 
-    def spare(self, now: float) -> int | None:
-        """Return the flows that a cold host may still accept, None if warm.
+    def cold_flows_left(self, now: float) -> int | None:
+        """Return the number of flows that a cold host may still accept.
 
-        A service that states no rate sets no limit.
+        Returns:
+            None if there is no limit: the host is warm or without a record,
+            or its service states no rate.
         """
         record = self.record
         if record is None or not record.cold_per_s or now >= self._cold_until:
@@ -242,7 +247,7 @@
     def _persistent_reason(self, service: int, now: float) -> int:
         if service != self.service:
             return reasons.OTHER_SERVICE
-        # The record is checked first, as its reasons are permanent.
+        # The record is checked first, as its reasons last longest.
         recorded = _recorded_reason(self.record, service)
         if recorded:
             return recorded
@@ -258,7 +263,7 @@
 def _recorded_reason(record: messages.Record | None, service: int) -> int:
     if record is None:
         return reasons.NONE
-    if record.flags & messages.OUT:
+    if record.flags & messages.EVACUATED:
         return reasons.OUT
     if not record.flags & messages.REGISTERED:
         return reasons.UNREGISTERED
--- a/siskinbank/tracking/store_reads.py
+++ b/siskinbank/tracking/store_reads.py
@@ -2,9 +2,10 @@
 
 Load pattern: every call to the store has a price and counts towards a shared
 rate limit, while a change must be in force everywhere within about three
-seconds, even if the last reader is dead, partitioned, or refused by the store.
-Every process receives the age of the newest data. The process with the lowest
-address reads as soon as a read is due; the next ones read only if it did not.
+seconds, even if the last reader has failed, is partitioned, or is refused by
+the store. Every process receives the age of the newest data. The process with
+the lowest address reads as soon as a read is due; the next ones read only if it
+did not.
 """
 
 from __future__ import annotations
@@ -18,14 +19,16 @@
     'sidecar_should_read',
 )
 
-# Ages at which data is read again, in seconds. From a host's announcement that
+# Ages at which data is read again, in seconds, by the first reader and by the
+# next ones, with a step for each further rank. From a host's announcement that
 # it drains to its last new flow, three seconds are allowed; the first reader
 # leaves two of them to the readers after it.
 _HOSTS_AGE_FIRST_S = 0.7
 _HOSTS_AGE_NEXT_S = 1.2
 _OPERATOR_AGE_NEXT_S = 1.5
 _RANK_STEP_S = 0.25
-# Number of ranks after which the age no longer increases.
+# Number of ranks after which the age no longer increases, and of doublings of
+# the pause after failed calls.
 _MAX_STEPS = 4
 # A sidecar reads the store itself when the newest record from an entry is
 # older than this, in seconds.
@@ -34,16 +37,16 @@
 # that start at the same time read first.
 _START_ALLOWANCE_S = 1.1
 
-# Hosts whose entries expired during an outage of the store are registered
-# again within two seconds of its return; until then a missing entry is no
-# evidence.
+# Hosts whose records expired during an outage of the store are registered again
+# within two seconds of its return. Until this time after its return, in seconds,
+# a missing record does not show that the host is gone.
 _RECOVERY_S = 2.3
 # If no process got a listing for this long, in seconds, the store was
 # unavailable.
 _OUTAGE_S = 2.0
 
 # Pauses after failed calls, in seconds: doubled each time, as calls to a store
-# that is down have a price too; short enough to notice its return within a
+# that is down have a price too; the first reader notices its return within a
 # second.
 _FIRST_PAUSE_S = 0.1
 _MAX_PAUSE_S = 0.8
@@ -51,11 +54,11 @@
 
 
 class StoreAvailability:
-    """Tells whether a host without an entry in the store is gone.
+    """Availability of the store, to judge whether a missing host is gone.
 
-    Load pattern: entries expire during an outage of the store, and are
-    registered again within two seconds of its return. A process that did not
-    read for a while because others did has not seen an outage.
+    Load pattern: host records expire during an outage of the store, and are
+    written again within two seconds of its return. If a process did not read
+    for a while because others did, that was no outage.
     """
 
     __slots__ = ('_returned_at',)
@@ -64,19 +67,19 @@
         """Initialize the state before the first read."""
         self._returned_at: float | None = None
 
-    def note_read(self, now: float, confirmed: float) -> None:
-        """Note a listing of the hosts.
+    def note_read(self, now: float, confirmed_at: float) -> None:
+        """Record that the hosts were listed.
 
         Args:
-            now: the time in seconds.
-            confirmed: when the store confirmed the previous listing, to this
-                process or to another one that announced it.
+            now: Time in seconds.
+            confirmed_at: Time when the store confirmed the previous listing, to
+                this process or to another one that announced it.
         """
-        if self._returned_at is None or now - confirmed > _OUTAGE_S:
+        if self._returned_at is None or now - confirmed_at > _OUTAGE_S:
             self._returned_at = now
 
     def absence_is_reliable(self, now: float) -> bool:
-        """Return whether a missing entry means that its host is gone."""
+        """Return whether a host without a record in the store is gone."""
         return (
             self._returned_at is not None
             and now - self._returned_at > _RECOVERY_S
@@ -84,19 +87,19 @@
 
 
 def reader_rank(own: bytes, others: list[bytes]) -> int:
-    """Return the rank of an address among the live ones, 0 for the first."""
+    """Return the rank of an address among the live readers, from 0."""
     return sum(1 for other in others if other < own)
 
 
 def hosts_read_age_s(rank: int) -> float:
-    """Return the age in seconds at which the hosts' entries are read again."""
+    """Return the age in seconds at which the host records are read again."""
     if rank == 0:
         return _HOSTS_AGE_FIRST_S
     return _HOSTS_AGE_NEXT_S + _RANK_STEP_S * min(rank - 1, _MAX_STEPS)
 
 
 def operator_read_age_s(rank: int) -> float:
-    """Return the age in seconds at which the operator's keys are watched."""
+    """Return the age in seconds at which the operator keys are read again."""
     if rank == 0:
         return 0
     return _OPERATOR_AGE_NEXT_S + _RANK_STEP_S * min(rank - 1, _MAX_STEPS)
@@ -105,27 +108,28 @@
 def sidecar_should_read(
     now: float,
     started: float,
-    confirmed: float,
+    confirmed_at: float,
     own_read_at: float,
 ) -> bool:
     """Return whether a sidecar reads the store itself.
 
-    Load pattern: all processes start at once, before their hosts have written
-    their entries; no process has a record to send yet, and each would read the
-    store.
+    Load pattern: all processes start at once, before the hosts have written
+    their records; no entry has a record to send yet, and each sidecar would
+    read the store.
 
     Args:
-        now: the time in seconds.
-        started: when the sidecar started.
-        confirmed: when the store confirmed the last record from an entry.
-        own_read_at: when the sidecar last read the store itself.
+        now: Time in seconds.
+        started: Time when the sidecar started.
+        confirmed_at: Time when the store confirmed the last record from an
+            entry.
+        own_read_at: Time when the sidecar last read the store itself.
     """
-    newest = max(confirmed, own_read_at, started - _START_ALLOWANCE_S)
+    newest = max(confirmed_at, own_read_at, started - _START_ALLOWANCE_S)
     return now - newest > _SIDECAR_READ_AGE_S
 
 
 def pause_after_failures_s(failures: int, rank: int) -> float:
-    """Return the pause in seconds after failed calls in a row."""
+    """Return the pause in seconds after consecutive failed calls."""
     if not failures:
         return 0
     longest = _MAX_PAUSE_S if rank == 0 else _MAX_PAUSE_OTHERS_S
--- a/tests/relay/test_end_to_end.py
+++ b/tests/relay/test_end_to_end.py
@@ -112,7 +112,7 @@
             self.fleet.sidecars[index].start()
 
     async def test_draining_host_gets_no_new_flows(self) -> None:
-        """Soon after its record changes; its open flows continue."""
+        """Within the limit after its record changes; open flows continue."""
         client = self.fleet.clients[0]
         flow = await client.connect(TARGET)
         first = await client.ask(flow, 'first')
@@ -135,7 +135,7 @@
         after = [len(host.accepted) for host in self.fleet.hosts]
         self.assertEqual((after[0], after[2]), (before[0], before[2]))
 
-    async def test_unreadable_store_entry_hides_no_other(self) -> None:
+    async def test_invalid_store_record_hides_no_other(self) -> None:
         """Other clients have written invalid records beside those of hosts."""
         corrupt = (b'\xff\x00', b'[]', b'{"Service": 7}', b'{"Service": "x"}')
         for number, content in enumerate(corrupt):
@@ -148,7 +148,7 @@
         self.assertEqual(len(self.fleet.hosts[2].accepted), accepted)
 
     async def test_change_after_compaction_is_in_force(self) -> None:
-        """The watch gets status 410 and lists all keys again."""
+        """The watch gets status 410, and all keys are listed again."""
         new = (TARGET[0], 8443)
         await asyncio.sleep(0.2)
         self.fleet.store.compact()
@@ -188,7 +188,7 @@
         self.assertTrue(await _serves(self.fleet.clients[0], TARGET))
         self.assertIn('store.lost', self.fleet.entries[0].log)
 
-    async def test_entry_refused_by_store_learns_from_peers(
+    async def test_entry_refused_by_store_gets_route_from_peers(
         self,
     ) -> None:
         """A new route takes effect there within the limit for changes."""
@@ -219,11 +219,11 @@
             host.processing_s = 0.5
         client = self.fleet.clients[0]
         flow = await client.connect(TARGET)
-        asking = asyncio.create_task(client.ask(flow, 'long'))
+        request_task = asyncio.create_task(client.ask(flow, 'long'))
         await asyncio.sleep(0.2)
         for sidecar in self.fleet.sidecars:
             sidecar.signal(SIGTERM)
-        self.assertTrue((await asking).startswith('long '))
+        self.assertTrue((await request_task).startswith('long '))
         codes = [
             await asyncio.to_thread(_wait, stopped.process)
             for stopped in self.fleet.sidecars
--- a/tests/relay/test_flow_searcher.py
+++ b/tests/relay/test_flow_searcher.py
@@ -16,7 +16,7 @@
 HOSTS = 60
 FLOWS = 25
 # CPU time of an entry for all its searches after a power loss, in seconds: on a
-# sixth of a core they end within the second until clients retransmit.
+# sixth of a core they end within a second, before clients retransmit.
 MAX_CPU_S = 0.015
 # A tenth of a second on the slowest link, 5 Mbit/s.
 MAX_BYTES = 62500
@@ -68,7 +68,7 @@
             configuration=SimpleNamespace(routes={ROUTE_KEY: route}),
             hosts=registered,
             hosts_revision=5,
-            hosts_seen=loop.now,
+            hosts_read_at=loop.now,
             absence_is_reliable=lambda: True,
         )
         gossip: Any = SimpleNamespace(request_hosts_read=bool)
@@ -88,7 +88,7 @@
 
 
 class TestSearchCost(unittest.TestCase):
-    """Load pattern: a power loss ended all flows, and every host answers."""
+    """Load pattern: a power loss ended all flows; all hosts answer queries."""
 
     def test_answers_are_cheap(self) -> None:
         """CPU time is bounded with 25 flows, 60 hosts and 1,500 answers."""
--- a/tests/relay/test_gossip.py
+++ b/tests/relay/test_gossip.py
@@ -28,10 +28,10 @@
             configuration=self.configuration,
             hosts={},
             hosts_revision=0,
-            hosts_seen=NEVER,
-            hosts_seen_by_peer=NEVER,
+            hosts_read_at=NEVER,
+            hosts_read_by_peer_at=NEVER,
             operator_revision=0,
-            operator_seen=NEVER,
+            operator_read_at=NEVER,
             rank=0,
         )
         node: Any = SimpleNamespace(
--- a/tests/relay/test_hello_schedule.py
+++ b/tests/relay/test_hello_schedule.py
@@ -18,11 +18,11 @@
         """A peer that starts 0.05 s to 1.5 s after the first hello."""
         for late_ms in range(50, 1500, 50):
             schedule = HelloSchedule(STARTED, PERIOD_S)
-            up = STARTED + late_ms / 1000
+            up_at = STARTED + late_ms / 1000
             now: float = STARTED
-            while not (schedule.is_due(now) and now >= up):
+            while not (schedule.is_due(now) and now >= up_at):
                 now += HELLO_CHECK_INTERVAL_S
-            self.assertLessEqual(now - up, HELLO_CHECK_INTERVAL_S + 0.001)
+            self.assertLessEqual(now - up_at, HELLO_CHECK_INTERVAL_S + 0.001)
 
     def test_hellos_are_rare_after_startup(self) -> None:
         """Dead peers get few datagrams."""
--- a/tests/relay/test_messages.py
+++ b/tests/relay/test_messages.py
@@ -21,8 +21,8 @@
         opening.candidates = [b'efgh', b'\x0a\x00\x00\x01']
         opening.best = b'ijkl'
         opening.best_wait_ms = 300
-        opening.limit_ms = 1500
-        opening.aim_ms = 150
+        opening.wait_limit_ms = 1500
+        opening.target_latency_ms = 150
         opening.hops = 2
         decoded = messages.Opening.read(opening.pack())
         for name in messages.Opening.__slots__:
@@ -40,12 +40,12 @@
         record = messages.Record()
         record.cold_per_s = 2.5
         record.age_s = 0.25
-        record.flags = messages.OUT
+        record.flags = messages.EVACUATED
         decoded_record = messages.Record.read(record.pack())
         self.assertEqual(
             (decoded_record.cold_per_s, decoded_record.age_s), (2.5, 0.25)
         )
-        self.assertEqual(decoded_record.flags, messages.OUT)
+        self.assertEqual(decoded_record.flags, messages.EVACUATED)
 
     def test_announcement_and_peers(self) -> None:
         """Lists of entries and of sidecars are kept separate."""
@@ -79,13 +79,13 @@
     def test_relayed(self) -> None:
         """With and without hosts to forward the packet to."""
         for others in ([], [b'host', b'next']):
-            raw = messages.relayed(b'from', others, b'packet')
+            raw = messages.pack_relayed(b'from', others, b'packet')
             decoded = messages.read_relayed(raw)
             self.assertEqual(decoded, (b'from', others, b'packet'))
 
     @given(st.binary(max_size=80))
     def test_arbitrary_bytes(self, raw: bytes) -> None:
-        """Decoding succeeds or raises Malformed, nothing else."""
+        """Decoding succeeds or raises DatagramError, nothing else."""
         readers: tuple[Callable[[bytes], object], ...] = (
             messages.Opening.read,
             messages.Status.read,
@@ -98,5 +98,5 @@
             messages.read_relayed,
         )
         for read in readers:
-            with suppress(messages.Malformed):
+            with suppress(messages.DatagramError):
                 read(raw)
--- a/tests/relay/test_request_tracker.py
+++ b/tests/relay/test_request_tracker.py
@@ -18,7 +18,7 @@
 ANSWER = answer_bytes('a', 'i-1')
 Packets = tuple[tuple[int, bytes], ...]
 #: Packets of a host, as flags and content, and the outcome of the request.
-ENDS: tuple[tuple[Packets, str | None], ...] = (
+OUTCOMES: tuple[tuple[Packets, str | None], ...] = (
     (((ACK, b''),), None),
     (((ACK, ANSWER),), '200'),
     (((ACK | FIN, ANSWER),), '200'),
@@ -38,7 +38,7 @@
         host: The known state of the host.
         tracker: The tracker under test.
         flow: A flow that the host holds.
-        key: Its key.
+        key: The key of the flow.
     """
 
     def __init__(self) -> None:
@@ -59,7 +59,7 @@
         packet = Packet(SERVICE, CLIENT, flags, content=content)
         self.tracker.track_answer(self.key, self.flow, packet.write())
 
-    def wait(self) -> None:
+    def run_timers(self) -> None:
         """Run all timers."""
         for call in self._timers:
             call()
@@ -77,12 +77,12 @@
 
     def test_request_outcomes(self) -> None:
         """A request ends once, with its answer or with its flow."""
-        for packets, outcome in ENDS:
+        for packets, outcome in OUTCOMES:
             env = Environment()
             self.assertEqual(env.host.busy, 1)
             for flags, content in packets:
                 env.answer(flags, content)
-            env.wait()
-            wanted = [] if outcome is None else [outcome]
-            self.assertEqual(env.outcomes, wanted, packets)
-            self.assertEqual(env.host.busy, 1 - len(wanted))
+            env.run_timers()
+            expected = [] if outcome is None else [outcome]
+            self.assertEqual(env.outcomes, expected, packets)
+            self.assertEqual(env.host.busy, 1 - len(expected))
--- a/tests/tracking/test_configuration.py
+++ b/tests/tracking/test_configuration.py
@@ -25,7 +25,7 @@
         self.assertEqual((other.version, len(other.routes)), (9, 1))
 
     def test_damaged_documents_are_rejected(self) -> None:
-        """The one in force stays."""
+        """The configuration in force is kept."""
         configuration = Configuration()
         configuration.offer(raw(5))
         for damaged in (b'', b'x', configuration.packed[:-4]):
--- a/tests/tracking/test_own_host.py
+++ b/tests/tracking/test_own_host.py
@@ -8,7 +8,7 @@
 
 SERVICE = messages.digest('matcher')
 OTHER = messages.digest('catalogue')
-HEALTHY = messages.REGISTERED | messages.OPERATOR
+HEALTHY = messages.REGISTERED | messages.OPERATOR_READ
 
 
 def record(
@@ -37,13 +37,13 @@
 
     def test_reasons_from_the_record(self) -> None:
         """The latest record applies."""
-        flags = messages.REGISTERED | messages.OPERATOR
+        flags = messages.REGISTERED | messages.OPERATOR_READ
         for step, (more, reason) in enumerate(
             (
                 (flags, reasons.NONE),
                 (flags | messages.DRAINING, reasons.DRAINING),
-                (flags | messages.OUT, reasons.OUT),
-                (messages.OPERATOR, reasons.UNREGISTERED),
+                (flags | messages.EVACUATED, reasons.OUT),
+                (messages.OPERATOR_READ, reasons.UNREGISTERED),
                 (flags, reasons.NONE),
             ),
         ):
@@ -62,8 +62,10 @@
         self.assertEqual(found, reasons.OTHER_SERVICE)
 
     def test_older_records_are_ignored(self) -> None:
-        """Neither the host's part nor the operator's part goes back."""
-        flags = messages.REGISTERED | messages.OUT | messages.OPERATOR
+        """Neither host nor operator flags return to an older revision."""
+        flags = (
+            messages.REGISTERED | messages.EVACUATED | messages.OPERATOR_READ
+        )
         self.host.apply_record(record(20, 20, flags), 101)
         self.assertFalse(self.host.apply_record(record(19, 30), 102))
         self.assertEqual(self.host.state(102), reasons.OUT)
@@ -96,7 +98,7 @@
         self.assertEqual(self.host.state(200.1), reasons.NONE)
 
     def test_the_operators_flags_are_kept(self) -> None:
-        """A record with an older operator revision does not change them."""
+        """A record with an older operator revision doesn't change them."""
         self.host.apply_record(record(11, 0, messages.REGISTERED), 101)
         known = self.host.record
         self.assertEqual(known and known.flags, HEALTHY)
@@ -115,9 +117,9 @@
             self.host.note_admitted(b'key', 100)
         found = self.host.refusal_reason(SERVICE, 100.5)
         self.assertEqual(found, reasons.COLD)
-        self.assertIsNone(self.host.spare(102.1))
+        self.assertIsNone(self.host.cold_flows_left(102.1))
         cold.cold_per_s = 0
-        self.assertIsNone(self.host.spare(100.5))
+        self.assertIsNone(self.host.cold_flows_left(100.5))
 
     def test_a_planned_stop(self) -> None:
         """No new flows from then on."""
@@ -131,29 +133,29 @@
     def test_waits_until_a_record_arrives(self) -> None:
         """Or for half a second; then the old state is used."""
         host = OwnHost(SERVICE, 100, 50_000)
-        self.assertTrue(host.expects_record(100.4))
-        self.assertFalse(host.expects_record(100.6))
+        self.assertTrue(host.is_waiting_for_record(100.4))
+        self.assertFalse(host.is_waiting_for_record(100.6))
         self.assertEqual(host.refusal_reason(SERVICE, 100), reasons.NONE)
-        host.expect_record(200)
-        self.assertTrue(host.expects_record(200.1))
+        host.wait_for_record(200)
+        self.assertTrue(host.is_waiting_for_record(200.1))
         host.apply_record(record(), 200.1)
-        self.assertFalse(host.expects_record(200.1))
+        self.assertFalse(host.is_waiting_for_record(200.1))
         self.assertEqual(host.age_ms(200.3), 200)
 
 
 class TestFlowCoverage(unittest.TestCase):
-    """Whether the sidecar knows all flows of its host."""
+    """Whether the sidecar has observed all flows of its host."""
 
     def test_started_together_or_observed_for_long(self) -> None:
         """Load pattern: flow searches after a power failure of machines."""
         for born_ms, complete in ((7, False), (49_700, False), (49_900, True)):
             host = OwnHost(SERVICE, 100, 50_000)
-            self.assertFalse(host.knows_all_flows(101))
+            self.assertFalse(host.has_observed_all_flows(101))
             found = record()
             found.born_ms = born_ms
             host.apply_record(found, 101)
-            self.assertEqual(host.knows_all_flows(101), complete)
-            self.assertTrue(host.knows_all_flows(119))
+            self.assertEqual(host.has_observed_all_flows(101), complete)
+            self.assertTrue(host.has_observed_all_flows(119))
 
     def test_a_host_without_a_record_gets_one_flow(self) -> None:
         """One flow at a time; a stall requires a new record."""
@@ -165,7 +167,7 @@
         host.note_opened()
         self.assertTrue(host.is_trusted(100.1))
         host.apply_record(record(), 101)
-        host.expect_record(200)
+        host.wait_for_record(200)
         self.assertFalse(host.is_trusted(200.1))
         self.assertFalse(host.may_accept_trial_flow(200.1))
         self.assertTrue(host.is_trusted(200.6))
@@ -174,8 +176,8 @@
         """Flows of its earlier incarnation do not count."""
         host = OwnHost(SERVICE, 100, 50_000)
         host.apply_record(record(), 101)
-        self.assertTrue(host.knows_all_flows(119))
+        self.assertTrue(host.has_observed_all_flows(119))
         restarted = record(20)
         restarted.born_ms = 8
         host.apply_record(restarted, 120)
-        self.assertFalse(host.knows_all_flows(121))
+        self.assertFalse(host.has_observed_all_flows(121))
--- a/tests/tracking/test_store_reads.py
+++ b/tests/tracking/test_store_reads.py
@@ -11,15 +11,16 @@
     sidecar_should_read,
 )
 
-# From a host's announcement to its effect everywhere, in seconds.
-_ALLOWED_S = 3
+# Limit of the platform from a host's announcement to its effect everywhere, in
+# seconds.
+_MAX_APPLY_S = 3
 
 
 class TestStoreAvailability(unittest.TestCase):
-    """When a missing entry means that its host is gone."""
+    """When a host without a record in the store is gone."""
 
     def test_not_soon_after_an_outage(self) -> None:
-        """Expired entries are registered again within two seconds."""
+        """Hosts with expired records register again within two seconds."""
         store = StoreAvailability()
         self.assertFalse(store.absence_is_reliable(100))
         store.note_read(100, -1e9)
@@ -29,7 +30,7 @@
         self.assertFalse(store.absence_is_reliable(111))
 
     def test_reads_by_other_processes_count(self) -> None:
-        """The other processes saw that the store was available."""
+        """Their listings show that the store was available."""
         store = StoreAvailability()
         store.note_read(100, -1e9)
         store.note_read(140, 139.5)
@@ -45,7 +46,7 @@
         self.assertEqual(reader_rank(b'a', []), 0)
 
     def test_the_next_reader_waits_for_the_first(self) -> None:
-        """The announcement of a read takes a quarter second to all peers."""
+        """A read is announced to all peers within a quarter second."""
         for rank in range(1, 30):
             longer = hosts_read_age_s(rank) - hosts_read_age_s(0)
             self.assertGreaterEqual(longer, 0.25)
@@ -53,12 +54,12 @@
 
     def test_two_dead_readers_are_replaced_in_time(self) -> None:
         """The third process reads before its data is too old."""
-        for patience in (hosts_read_age_s, operator_read_age_s):
-            self.assertLessEqual(patience(2) + 0.25, _ALLOWED_S - 1)
+        for read_age_s in (hosts_read_age_s, operator_read_age_s):
+            self.assertLessEqual(read_age_s(2) + 0.25, _MAX_APPLY_S - 1)
 
     def test_sidecars_leave_reads_to_entries(self) -> None:
         """Replay: 20 s from the start, with a record each second or none."""
-        for received, most in ((True, 0), (False, 10)):
+        for received, max_reads in ((True, 0), (False, 10)):
             reads = 0
             own_read_at, received_at = -1e9, -1e9
             for step in range(200):
@@ -67,7 +68,7 @@
                 if sidecar_should_read(now, 100, received_at, own_read_at):
                     reads += 1
                     own_read_at = now
-            self.assertLessEqual(reads, most)
+            self.assertLessEqual(reads, max_reads)
         self.assertFalse(sidecar_should_read(100.9, 100, -1e9, -1e9))
         self.assertTrue(sidecar_should_read(101.2, 100, -1e9, -1e9))
 
