--- a/siskinbank/platform/documents.py
+++ b/siskinbank/platform/documents.py
@@ -16,7 +16,7 @@
 )
 
 
-# Upper limit of counts, times and revisions.
+# Maximum of all numbers in documents: counts, times and revisions.
 _MAX_NUMBER = 1 << 62
 
 
@@ -42,7 +42,7 @@
     """Decode a JSON object.
 
     Raises:
-        Unreadable: the bytes are not a JSON object.
+        DocumentError: the bytes are not a JSON object.
     """
     try:
         document, _ = _scan(raw.decode().strip(), 0)
@@ -57,7 +57,7 @@
     """Return the value of a string field.
 
     Raises:
-        Unreadable: the field is missing or not a string.
+        DocumentError: the field is missing or not a string.
     """
     value = document.get(name)
     if not isinstance(value, str):
@@ -69,7 +69,7 @@
     """Return the value of an integer field, 0 or more; booleans are refused.
 
     Raises:
-        Unreadable: the field is missing, not an integer or out of range.
+        DocumentError: the field is missing, not an integer or out of range.
     """
     value = document.get(name)
     if not isinstance(value, int) or isinstance(value, bool):
@@ -85,7 +85,7 @@
     """Return the value of a number field, 0 or more, or the default.
 
     Raises:
-        Unreadable: the field is not a number or out of range.
+        DocumentError: the field is not a number or out of range.
     """
     value = document.get(name, default)
     if not isinstance(value, int | float) or isinstance(value, bool):
--- a/siskinbank/platform/encoding.py
+++ b/siskinbank/platform/encoding.py
@@ -63,7 +63,7 @@
 
     @property
     def has_valid_checksum(self) -> bool:
-        """Whether the checksum matches the packet."""
+        """Return whether the checksum matches the packet."""
         return self.checksum == self._compute_checksum()
 
     def write(self) -> bytes:
@@ -87,15 +87,14 @@
         return head + self.content
 
     def _compute_checksum(self) -> int:
-        unmarked = replace(
-            self, checksum=0, echo=0, flags=self.flags & ~BOUNCED
-        )
-        return crc32(unmarked.pack())
+        # The checksum covers neither itself, the echo nor the bounced flag.
+        covered = replace(self, checksum=0, echo=0, flags=self.flags & ~BOUNCED)
+        return crc32(covered.pack())
 
 
 @dataclass(frozen=True, slots=True)
 class HostEntry:
-    """A host's entry in the store."""
+    """A host's record in the store."""
 
     service: str
     address: tuple[str, int]
@@ -106,7 +105,7 @@
     born_ms: int = 1
 
     def encode(self) -> bytes:
-        """Return the entry as JSON."""
+        """Return the record as JSON."""
         ip, port = self.address
         return _json(
             {
@@ -173,7 +172,7 @@
 
     def encode(self) -> bytes:
         """Return the file's content as JSON."""
-        packets, ready, peers, output = self.ports
+        packets, ready, peers, outbound = self.ports
         listen = {
             'DatagramAddr': f'{self.ip}:{packets}',
             'ReadyAddr': f'{self.ip}:{ready}',
@@ -190,7 +189,7 @@
             'unknown': {'is': ['ignored']},
         }
         if self.host:
-            listen['outbound'] = f'{self.ip}:{output}'
+            listen['outbound'] = f'{self.ip}:{outbound}'
             document['app'] = f'{self.host[0]}:{self.host[1]}'
             document['Service'] = self.service
         return _json(document)
--- a/siskinbank/platform/packets.py
+++ b/siskinbank/platform/packets.py
@@ -84,7 +84,7 @@
     if flags & ~_KNOWN_FLAGS:
         return 'flags'
     if flags & BOUNCED or flags & (SYN | ACK) == SYN | ACK:
-        # Only hosts bounce packets or answer a SYN.
+        # Only hosts set the bounced flag or answer a SYN.
         return 'forged'
     return None
 
--- a/siskinbank/platform/records.py
+++ b/siskinbank/platform/records.py
@@ -1,4 +1,4 @@
-"""Decoding of host entries and the operator's configuration in the store."""
+"""Decoding of host records and the operator's configuration in the store."""
 
 from __future__ import annotations
 
@@ -21,18 +21,18 @@
 )
 
 _MS = 1000
-# Number of steps in the draw of a weighted service.
-_DRAW_STEPS = 1 << 16
+# Resolution of the weighted choice of a service.
+_WEIGHT_STEPS = 1 << 16
 _MAX_PORT = 65535
 # Higher slot counts are capped at this value.
 _MAX_SLOTS = 65535
-# Used for routes without a time limit: the shortest limit of the users'
-# requests.
+# Used for routes without a time limit: the shortest time limit that users set
+# for their requests.
 _DEFAULT_TIMEOUT_MS = 1500
 
 
 class HostRecord:
-    """A host's own entry in the store.
+    """The record that a host writes to the store about itself.
 
     Attributes:
         service: the service that the host belongs to.
@@ -40,7 +40,7 @@
         data_centre: data centre of the host.
         slots: requests that the host processes concurrently.
         draining: whether the host is leaving and accepts no new requests.
-        cold_s: remaining warm-up time when the entry was read, in seconds.
+        cold_s: remaining warm-up time when the record was read, in seconds.
         born_ms: start time of the host in milliseconds, which distinguishes
             its incarnations.
     """
@@ -56,10 +56,10 @@
     )
 
     def __init__(self, document: dict[str, object]) -> None:
-        """Initialize the record from a decoded entry.
+        """Initialize the record from a decoded document.
 
         Raises:
-            Unreadable: the entry does not describe a usable host.
+            DocumentError: the document does not describe a usable host.
         """
         self.service = text_field(document, 'Service')
         self.ip = _host_ip(text_field(document, 'Address'))
@@ -84,13 +84,13 @@
     Attributes:
         shares: the services that receive new flows, each with its weight
             above 0.
-        repeatable: whether requests may run more than once.
-        aim_s: target latency in seconds.
+        idempotent: whether requests may run more than once.
+        target_latency_s: target latency in seconds.
         limit_s: time in seconds after which a response is of no use to the
             client.
     """
 
-    __slots__ = ('target_latency_s', 'limit_s', 'idempotent', 'shares')
+    __slots__ = ('idempotent', 'limit_s', 'shares', 'target_latency_s')
 
     def __init__(
         self,
@@ -105,15 +105,15 @@
         self.target_latency_s = target_latency_s
         self.limit_s = limit_s
 
-    def service_for(self, draw: int) -> str:
+    def service_for(self, flow_hash: int) -> str:
         """Return the service of a new flow; ``shares`` must not be empty.
 
         Args:
-            draw: a number derived from the flow key, so that all copies of a
-                flow's first packet go to the same service.
+            flow_hash: a hash of the flow key, which is the same in all copies
+                of a flow's first packet, so that they go to one service.
         """
         total = sum(weight for _, weight in self.shares)
-        point = draw % _DRAW_STEPS / _DRAW_STEPS * total
+        point = flow_hash % _WEIGHT_STEPS / _WEIGHT_STEPS * total
         for service, weight in self.shares:
             point -= weight
             if point < 0:
@@ -125,23 +125,23 @@
     """Warm-up settings of the hosts of one service.
 
     Attributes:
-        per_s: requests per second that a cold host can process.
-        cold_s: duration of the warm-up after a start, in seconds.
+        cold_requests_per_s: requests per second that a cold host can process.
+        duration_s: duration of the warm-up after a start, in seconds.
     """
 
-    __slots__ = ('cold_s', 'cold_requests_per_s')
+    __slots__ = ('cold_requests_per_s', 'duration_s')
 
-    def __init__(self, cold_requests_per_s: float, cold_s: float) -> None:
+    def __init__(self, cold_requests_per_s: float, duration_s: float) -> None:
         """Create warm-up settings."""
         self.cold_requests_per_s = cold_requests_per_s
-        self.cold_s = cold_s
+        self.duration_s = duration_s
 
 
 def decode_host(raw: bytes) -> HostRecord:
-    """Decode the entry of a host.
+    """Decode the record of a host.
 
     Raises:
-        Unreadable: the bytes do not describe a usable host.
+        DocumentError: the bytes do not describe a usable host.
     """
     return HostRecord(decode(raw))
 
@@ -156,21 +156,22 @@
         key), and the warm-up settings by service name.
 
     Raises:
-        Unreadable: the configuration is incomplete or malformed; no part of it
-            is returned.
+        DocumentError: the configuration is incomplete or malformed; no part
+            of it is returned.
     """
     document = decode(raw)
     version = integer_field(document, 'Version')
     routes = dict(
-        _parse_route(route) for route in _table_rows(document, 'Routes')
+        _parse_route(route) for route in _object_rows(document, 'Routes')
     )
     services = dict(
-        _parse_warm_up(service) for service in _table_rows(document, 'Services')
+        _parse_warm_up(service)
+        for service in _object_rows(document, 'Services')
     )
     return version, routes, services
 
 
-def _table_rows(
+def _object_rows(
     document: dict[str, object], name: str
 ) -> list[dict[str, object]]:
     rows = document.get(name)
@@ -203,7 +204,7 @@
 def _shares(document: dict[str, object]) -> tuple[tuple[str, float], ...]:
     if 'Service' in document:
         return ((text_field(document, 'Service'), 1.0),)
-    rows = _table_rows(document, 'WeightedBackends')
+    rows = _object_rows(document, 'WeightedBackends')
     pairs = (
         (text_field(row, 'Service'), number_field(row, 'Weight', 0))
         for row in rows
--- a/siskinbank/platform/settings.py
+++ b/siskinbank/platform/settings.py
@@ -22,14 +22,14 @@
         packet_port: UDP port for packets; clients use the same port number.
         peer_port: UDP port for messages between siskinbank processes.
         ready_address: address on which readiness checks are answered.
-        host_output: address to which a sidecar's host sends its packets, or
-            None at an entry.
+        outbound_address: address to which a sidecar's host sends its
+            packets, or None at an entry.
         host_address: address on which that host receives packets, or None at
             an entry.
         service: service of that host, or None at an entry.
         seeds: IP addresses of entries that are contacted first.
         store: address of the platform's store.
-        heartbeat_s: interval at which hosts write their entries, in seconds.
+        heartbeat_s: interval at which hosts write their records, in seconds.
     """
 
     __slots__ = (
@@ -51,13 +51,13 @@
         """Initialize the settings from the decoded file.
 
         Raises:
-            Unreadable: a required field is missing or malformed.
+            DocumentError: a required field is missing or malformed.
         """
-        listen = _table_field(document, 'Listen')
+        listen = _object_field(document, 'Listen')
         self.instance = text_field(document, 'NodeName')
         self.ip = text_field(document, 'Ip')
         self.data_centre = text_field(document, 'Zone')
-        # The platform has one field for the addresses of entries and
+        # The platform has one field for the packet address of entries and
         # sidecars; clients use the same port, but not the same address.
         self.packet_port = _parse_address(text_field(listen, 'DatagramAddr'))[1]
         self.ready_address = _parse_address(text_field(listen, 'ReadyAddr'))
@@ -69,7 +69,7 @@
         self.service = service if isinstance(service, str) else None
         self.seeds = _seeds(document)
         # `platform` holds only the address of the store.
-        store = _table_field(document, 'platform')
+        store = _object_field(document, 'platform')
         self.store = _parse_address(text_field(store, 'Address'))
         heartbeat_ms = document.get('HeartbeatMs')
         self.heartbeat_s = (
@@ -82,13 +82,13 @@
 
     Raises:
         OSError: the file cannot be read.
-        Unreadable: a required field is missing or malformed.
+        DocumentError: a required field is missing or malformed.
     """
     with open(path, 'rb') as stream:
         return Settings(decode(stream.read()))
 
 
-def _table_field(document: dict[str, object], name: str) -> dict[str, object]:
+def _object_field(document: dict[str, object], name: str) -> dict[str, object]:
     value = document.get(name)
     if not isinstance(value, dict):
         raise DocumentError(f'{name} is not an object')
@@ -118,8 +118,8 @@
 
 
 def _seeds(document: dict[str, object]) -> tuple[str, ...]:
-    # Seeds are control addresses. Peers listen on the same machines, on the
-    # peer port, so only the IP addresses are kept.
+    # Seeds are the control addresses of other processes. Peers are on the same
+    # machines but listen on the peer port, so only the IP addresses are used.
     value = document.get('Seeds')
     if not isinstance(value, list):
         return ()
--- a/siskinbank/platform/store.py
+++ b/siskinbank/platform/store.py
@@ -27,14 +27,15 @@
     'watch_path',
 )
 
-# Key prefix of host entries; the host id follows.
+# Key prefix of host records; the host id follows.
 HOSTS_PREFIX = 'servers/'
 # Key prefix of all keys that the operator writes.
 OPERATOR_PREFIX = 'op/'
 CONFIGURATION_KEY = 'op/config'
 EVACUATIONS_PREFIX = 'op/evacuate/'
 
-_SAFE = frozenset(
+# Characters of a key that are not percent-encoded in a query.
+_UNQUOTED_CHARACTERS = frozenset(
     'abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-._~/',
 )
 
@@ -113,7 +114,7 @@
     """Decode the response with one item.
 
     Raises:
-        Unreadable: the body is not an item.
+        DocumentError: the body is not an item.
     """
     return _parse_change(decode(body))
 
@@ -122,7 +123,7 @@
     """Decode a page of a listing.
 
     Raises:
-        Unreadable: the body is not a page of a listing.
+        DocumentError: the body is not a page of a listing.
     """
     document = decode(body)
     more = bool(document.get('HasMore'))
@@ -135,7 +136,7 @@
     """Decode the response of a watch.
 
     Raises:
-        Unreadable: the body is not a list of changes.
+        DocumentError: the body is not a list of changes.
     """
     document = decode(body)
     return Page(
@@ -164,7 +165,8 @@
 
 def _quote(text: str) -> str:
     return ''.join(
-        char if char in _SAFE else _percent_encode(char) for char in text
+        char if char in _UNQUOTED_CHARACTERS else _percent_encode(char)
+        for char in text
     )
 
 
--- a/siskinbank/sidecar/announcer.py
+++ b/siskinbank/sidecar/announcer.py
@@ -1,4 +1,4 @@
-"""Announce owned flows to the sidecars that entries ask for them first."""
+"""Announce flows to the sidecars that get their packets but don't own them."""
 
 import itertools
 import struct
@@ -15,18 +15,19 @@
     unpack_address,
 )
 
-__all__ = ('Announcer', 'read_numbers')
+__all__ = ('Announcer', 'unpack_flow_numbers')
 
 LEASE_SECONDS = 90
 _RENEW_SECONDS = 30
-#: Steps over which one renewal period is spread.
+#: Number of steps over which the renewals of one period are spread.
 _RENEW_STEPS = 30
 #: Delays of the repeated announcements after a change, because datagrams get
 #: lost and the views of other processes lag behind.
-_REPEATS_SECONDS = (1, 3, 7, 12)
-_FLOWS_A_MESSAGE = 128
-_MAX_STARTED_PEERS = 128
-_NUMBER = struct.Struct('!Q')
+_REPEAT_DELAYS_SECONDS = (1, 3, 7, 12)
+_MAX_FLOWS_PER_MESSAGE = 128
+#: Maximum number of hosts that receive a ``Restarted`` message.
+_MAX_RESTART_RECEIVERS = 128
+_FLOW_NUMBER = struct.Struct('!Q')
 
 
 class Announcer:
@@ -58,16 +59,16 @@
         timers.every(_RENEW_SECONDS / _RENEW_STEPS, self._renew, jitter=0.2)
 
     def pool_changed(self) -> None:
-        """Announce all flows now, and again for hosts that missed it."""
+        """Announce all flows now and again later, as messages may be lost."""
         self.announce_all()
-        for delay in _REPEATS_SECONDS:
+        for delay in _REPEAT_DELAYS_SECONDS:
             self._context.process.timers.after(delay, self.announce_all)
 
     def request_pointers(self) -> None:
         """Ask the pool for pointers, as this process starts without any."""
-        self._send_started()
-        for delay in _REPEATS_SECONDS:
-            self._context.process.timers.after(delay, self._send_started)
+        self._send_restarted()
+        for delay in _REPEAT_DELAYS_SECONDS:
+            self._context.process.timers.after(delay, self._send_restarted)
 
     def announce_new(self, flow: bytes) -> None:
         """Announce a flow that was just opened."""
@@ -90,9 +91,9 @@
         receivers = self._group_by_receiver(tuple(self._flows), new=False)
         self._send(
             {
-                to: receivers[to]
-                for to in receivers
-                if pack_address(to) == address
+                receiver: receivers[receiver]
+                for receiver in receivers
+                if pack_address(receiver) == address
             }
         )
 
@@ -120,12 +121,12 @@
             pointer.incarnation,
             pointer.generation,
             LEASE_SECONDS,
-            _NUMBER.pack(flow_number(flow)),
+            _FLOW_NUMBER.pack(flow_number(flow)),
         )
         self._context.peers.send_message(message, unpack_address(receiver))
 
     def _renew(self) -> None:
-        """Announce the next part of the flows owned off their primary host."""
+        """Announce the next part of the flows, which renews their leases."""
         if self._step == 0:
             self._unrenewed = iter(tuple(self._flows))
         self._step = (self._step + 1) % _RENEW_STEPS
@@ -140,11 +141,11 @@
         new: bool,
     ) -> dict[Address, list[int]]:
         receivers: dict[Address, list[int]] = {}
-        own = self._context.process.name
+        own_name = self._context.process.name
         for flow in flows:
             number = flow_number(flow)
             for host in self._history.announcement_targets(
-                number, own, new=new
+                number, own_name, new=new
             ):
                 receivers.setdefault(host.address, []).append(number)
         return receivers
@@ -165,26 +166,26 @@
                 )
                 self._context.peers.send_message(message, address)
 
-    def _send_started(self) -> None:
+    def _send_restarted(self) -> None:
         service = self._context.service
         if service is None:
             return
         message = Restarted(service.ident, self._own_address, self._incarnation)
-        own = self._context.process.name
-        hosts = [host for host in service.hosts if host.name != own]
-        for host in hosts[:_MAX_STARTED_PEERS]:
+        own_name = self._context.process.name
+        hosts = [host for host in service.hosts if host.name != own_name]
+        for host in hosts[:_MAX_RESTART_RECEIVERS]:
             if self._context.router.allows(pack_address(host.address)):
                 self._context.peers.send_message(message, host.address)
 
 
 def _pack_chunks(numbers: list[int]) -> Iterator[bytes]:
-    for start in range(0, len(numbers), _FLOWS_A_MESSAGE):
-        chunk = numbers[start : start + _FLOWS_A_MESSAGE]
-        yield b''.join(map(_NUMBER.pack, chunk))
+    for start in range(0, len(numbers), _MAX_FLOWS_PER_MESSAGE):
+        chunk = numbers[start : start + _MAX_FLOWS_PER_MESSAGE]
+        yield b''.join(map(_FLOW_NUMBER.pack, chunk))
 
 
-def read_numbers(packed: bytes) -> list[int]:
+def unpack_flow_numbers(packed: bytes) -> list[int]:
     """Return the flow numbers of a ``Moved`` message; none if malformed."""
-    if len(packed) % _NUMBER.size:
+    if len(packed) % _FLOW_NUMBER.size:
         return []
-    return [parts[0] for parts in _NUMBER.iter_unpack(packed)]
+    return [parts[0] for parts in _FLOW_NUMBER.iter_unpack(packed)]
--- a/siskinbank/sidecar/context.py
+++ b/siskinbank/sidecar/context.py
@@ -56,7 +56,7 @@
 
     @property
     def limits(self) -> Limits | None:
-        """The upstream's limits, once its service is known."""
+        """The upstream's limits, None until its service is known."""
         return self.admission.limits if self.admission else None
 
     @property
--- a/siskinbank/sidecar/deflection.py
+++ b/siskinbank/sidecar/deflection.py
@@ -17,8 +17,8 @@
 #: Below this share of its full connection limit a host counts as idle and
 #: forwards nothing.
 _IDLE_SHARE = 0.02
-#: The hop from which an urgent packet gets no further candidates.
-_LAST_PLAN_HOP = 10
+#: The hop from which a packet with ``WHOLE_POOL`` gets no new candidates.
+_LAST_CHOICE_HOP = 10
 
 
 def try_admit(
@@ -30,7 +30,7 @@
     """Reserve a connection for a first packet; return whether it succeeded.
 
     Above its fair load a host admits only packets that the other candidates
-    could not.
+    could not admit.
     """
     if not _is_last_attempt(envelope):
         load = admission.load
@@ -43,54 +43,54 @@
 def _is_last_attempt(envelope: Envelope) -> bool:
     if envelope.hops >= _ADMIT_HOP:
         return True
-    left = len(envelope.candidates) - envelope.position
-    is_fallback = left <= _FALLBACK_HOSTS - _FAIR_FALLBACK_HOSTS
+    remaining = len(envelope.candidates) - envelope.position
+    is_fallback = remaining <= _FALLBACK_HOSTS - _FAIR_FALLBACK_HOSTS
     return bool(envelope.flags & WHOLE_POOL) and is_fallback
 
 
 def choose_candidates(
     envelope: Envelope,
-    own: bytes | None,
+    own_address: bytes | None,
     loads: PoolLoads,
     rng: random.Random,
 ) -> None:
     """Replace a first packet's candidates by the hosts to ask next.
 
     The least loaded of the remaining candidates is asked first. After that the
-    packet is urgent: hosts of the whole pool that have room are asked, less
-    loaded ones first, and this host last. A pool that is known to be full is
-    not asked.
+    packet gets the flag ``WHOLE_POOL``: hosts of the whole pool that have room
+    are asked, less loaded ones first, and this host last. A pool that is known
+    to be full is not asked.
 
     Args:
         envelope: the first packet.
-        own: this sidecar's address, or None if it has no room.
+        own_address: this sidecar's address, or None if it has no room.
         loads: the known loads of the pool.
         rng: source of randomness for the selection of hosts.
     """
     position = envelope.position + 1
-    left = loads.among(envelope.candidates[position:])
+    others = loads.among(envelope.candidates[position:])
     if envelope.flags & WHOLE_POOL and (
-        left or envelope.hops >= _LAST_PLAN_HOP
+        others or envelope.hops >= _LAST_CHOICE_HOP
     ):
         return
-    if left and not envelope.position:
-        second = loads.sort(left)[0]
+    if others and not envelope.position:
+        second = loads.sort(others)[0]
         loads.expect(second)
         envelope.candidates = (envelope.candidates[0], second)
         return
     envelope.flags |= WHOLE_POOL
-    envelope.candidates = _fallback_hosts(own, loads, rng)
+    envelope.candidates = _fallback_hosts(own_address, loads, rng)
     envelope.position = -1
 
 
 def _fallback_hosts(
-    own: bytes | None,
+    own_address: bytes | None,
     loads: PoolLoads,
     rng: random.Random,
 ) -> tuple[bytes, ...]:
-    asked = loads.with_room(rng, _FALLBACK_HOSTS)
-    for address in asked[:_FAIR_FALLBACK_HOSTS]:
+    addresses = loads.with_room(rng, _FALLBACK_HOSTS)
+    for address in addresses[:_FAIR_FALLBACK_HOSTS]:
         loads.expect(address)
-    if own is not None:
-        asked = [*asked[: _FALLBACK_HOSTS - 1], own]
-    return tuple(asked)
+    if own_address is not None:
+        addresses = [*addresses[: _FALLBACK_HOSTS - 1], own_address]
+    return tuple(addresses)
--- a/siskinbank/sidecar/execution_claims.py
+++ b/siskinbank/sidecar/execution_claims.py
@@ -1,4 +1,4 @@
-"""Run each ticket and each key at most once on this host."""
+"""Claims that let a request run at most once on this host."""
 
 from collections.abc import Awaitable, Callable
 
@@ -23,8 +23,8 @@
     """Claims the single run of a request, before its admission is checked.
 
     A request with a ticket, or one that isn't idempotent and has a key, runs
-    at most once. A ticket that was refused becomes invalid, so that no late
-    copy of it runs. A key that was refused may be sent again.
+    at most once. The ticket of a refused request becomes invalid, so that no
+    late copy of it runs. The key of a refused request may be sent again.
     """
 
     def __init__(
@@ -50,7 +50,7 @@
 
     async def claim(self, head: RequestHead) -> Doubt | Refusal | None:
         """Claim the run of a request; return why it is refused, if so."""
-        name = _name(head)
+        name = _claim_name(head)
         if name is None:
             return None
         if name in self._claims:
@@ -65,10 +65,10 @@
         return await self._resolve(head)
 
     def fence(self, service: int, key: str) -> bool:
-        """Refuse to run a key from now on.
+        """Refuse requests with a key from now on.
 
         Returns:
-            False if the key may have run already.
+            False if a request with the key may have run already.
         """
         name = f'{_KEY} {service} {key}'
         if self._primaries.recently_started():
@@ -76,7 +76,7 @@
         return name in self._fenced or self._fence(name)
 
     def release(self, head: RequestHead) -> None:
-        """Release the claim of a key that was refused."""
+        """Release the key of a refused request that has no ticket."""
         if not head.ticket and head.key:
             self._claims.release(f'{_KEY} {head.service} {head.key}')
 
@@ -98,7 +98,7 @@
         return None
 
     async def _resolve(self, head: RequestHead) -> Doubt | None:
-        """Ask the former primary hosts to fence a key, or release the claim."""
+        """Fence a key at its former primary hosts, else release the claim."""
         primaries = self._primaries.former_primaries(head.key)
         resolved = False
         try:
@@ -111,8 +111,8 @@
         return None if resolved else Doubt.unsettled
 
 
-def _name(head: RequestHead) -> str | None:
-    """Return the name to claim, or None for work that may run again."""
+def _claim_name(head: RequestHead) -> str | None:
+    """Return the name to claim, or None for a request that may run again."""
     if head.ticket:
         return f'{_TICKET} {head.ticket}'
     if head.key and not head.idempotent:
--- a/siskinbank/sidecar/fencing.py
+++ b/siskinbank/sidecar/fencing.py
@@ -1,4 +1,4 @@
-"""Ask the former primary hosts of a key to fence it."""
+"""Ask the former primary hosts of a key to run no more requests with it."""
 
 import asyncio
 
@@ -21,7 +21,7 @@
         self._links = RequestLinks(process, streams)
 
     async def fence_at(self, primaries: list[Host], head: RequestHead) -> bool:
-        """Return whether all former primary hosts fenced a request's key."""
+        """Ask all former primary hosts; return whether all fenced the key."""
         answers = await asyncio.gather(
             *(self._fence(primary, head) for primary in primaries),
         )
--- a/siskinbank/sidecar/flow_accounting.py
+++ b/siskinbank/sidecar/flow_accounting.py
@@ -9,7 +9,7 @@
 from siskinbank.sidecar.flows import FlowTable, OwnedFlow
 from siskinbank.wire.packets import flow_target
 
-__all__ = ('FlowAccounting', 'service_ends')
+__all__ = ('FlowAccounting', 'service_endpoints')
 
 
 class FlowAccounting:
@@ -47,9 +47,9 @@
 
     def abandon_reassigned(self, service: Service) -> None:
         """Abandon the flows to addresses that the service no longer has."""
-        ends = service_ends(service)
+        endpoints = service_endpoints(service)
         reassigned = [
-            flow for flow in self.flows if flow_target(flow) not in ends
+            flow for flow in self.flows if flow_target(flow) not in endpoints
         ]
         removed = [self.flows.remove(flow) for flow in reassigned]
         self._abandon(
@@ -85,7 +85,7 @@
             self.release(removed_flows)
 
 
-def service_ends(service: Service) -> set[tuple[bytes, int]]:
+def service_endpoints(service: Service) -> set[tuple[bytes, int]]:
     """Return the addresses and ports to which a service's packets go."""
     return {
         (socket.inet_aton(endpoint.address), endpoint.port)
--- a/siskinbank/sidecar/flows.py
+++ b/siskinbank/sidecar/flows.py
@@ -1,4 +1,4 @@
-"""Tables of the flows that an upstream owns and of pointers to others."""
+"""Tables of an upstream's flows and of pointers to flows of other hosts."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass
@@ -8,6 +8,7 @@
 _OPEN_IDLE_SECONDS = 900
 _CLOSING_IDLE_SECONDS = 30
 _ADOPTED_IDLE_SECONDS = 60
+#: An adopted flow is in use if it has packets for longer than this.
 _CONFIRM_SECONDS = 1
 
 
@@ -18,14 +19,14 @@
     Attributes:
         opened: when the flow was added, in seconds of the clock.
         last_seen: when its last packet was received.
-        idle: the idle timeout in seconds.
+        idle_timeout: the idle timeout in seconds.
         charged: whether it counts against the connection limit.
         closing: whether the caller has sent all its data.
     """
 
     opened: float
     last_seen: float
-    idle: float = _OPEN_IDLE_SECONDS
+    idle_timeout: float = _OPEN_IDLE_SECONDS
     charged: bool = True
     closing: bool = False
 
@@ -36,12 +37,12 @@
         ignores, must not end it.
         """
         self.closing = True
-        self.idle = _CLOSING_IDLE_SECONDS
+        self.idle_timeout = _CLOSING_IDLE_SECONDS
 
     def reopen(self) -> None:
         """Mark the flow as open, after a new connection with the same ports."""
         self.closing = False
-        self.idle = _OPEN_IDLE_SECONDS
+        self.idle_timeout = _OPEN_IDLE_SECONDS
 
 
 class FlowTable:
@@ -52,7 +53,7 @@
         self._flows: dict[bytes, OwnedFlow] = {}
 
     def __len__(self) -> int:
-        """Return the number of open flows."""
+        """Return the number of owned flows, closing ones included."""
         return len(self._flows)
 
     def __contains__(self, flow: object) -> bool:
@@ -103,10 +104,10 @@
 
 def _idle_timeout(owned: OwnedFlow) -> float:
     """Return the idle timeout; raise that of an adopted flow still in use."""
-    if owned.idle == _ADOPTED_IDLE_SECONDS:
+    if owned.idle_timeout == _ADOPTED_IDLE_SECONDS:
         if owned.last_seen - owned.opened > _CONFIRM_SECONDS:
-            owned.idle = _OPEN_IDLE_SECONDS
-    return owned.idle
+            owned.idle_timeout = _OPEN_IDLE_SECONDS
+    return owned.idle_timeout
 
 
 @dataclass(frozen=True, slots=True)
@@ -157,7 +158,7 @@
         self._pointers.pop(number, None)
 
     def extend(self, address: bytes, incarnation: int, expires: float) -> None:
-        """Extend the leases on earlier incarnations of a restarted host."""
+        """Extend the leases of pointers to earlier incarnations of a host."""
         for number, pointer in self._pointers.items():
             if pointer.address == address and (
                 pointer.incarnation != incarnation
--- a/siskinbank/sidecar/forwarder.py
+++ b/siskinbank/sidecar/forwarder.py
@@ -27,7 +27,7 @@
 
 
 class Forwarder:
-    """Forwards packets of one sidecar, and tells entries who owns a flow."""
+    """Forwards packets of one sidecar and notifies entries of flow owners."""
 
     def __init__(self, context: SidecarContext, incarnation: int) -> None:
         """Initialize the forwarder of the sidecar of ``context``."""
@@ -78,11 +78,11 @@
         self.send(envelope, others[0])
 
     def follow_pointer(self, envelope: Envelope, pointer: Pointer) -> bool:
-        """Forward an envelope to a pointer's host; return whether it may go."""
+        """Forward an envelope by a pointer; return whether it was sent."""
         searching = envelope.flags & (ADOPT_UNOWNED | PROBE)
         if searching and pointer.address in envelope.candidates:
-            # A host that probes for a flow of its own earlier incarnation gets
-            # the packet back under that incarnation.
+            # If the probing host itself owned the flow in an earlier
+            # incarnation, it gets the packet back with that incarnation.
             searcher = envelope.candidates[-1] == pointer.address
             if envelope.flags & ADOPT_UNOWNED or not (
                 searcher and pointer.incarnation
@@ -98,7 +98,7 @@
         return True
 
     def reset_owner(self, envelope: Envelope) -> None:
-        """Reset an envelope whose named owner was wrong."""
+        """Clear the owner named in an envelope, because it was wrong."""
         envelope.flags = UNCACHED
         envelope.incarnation = 0
         envelope.candidates = (self.own_address,)
--- a/siskinbank/sidecar/health_checks.py
+++ b/siskinbank/sidecar/health_checks.py
@@ -18,10 +18,10 @@
 __all__ = ('probe', 'probe_address', 'read_report', 'start_health_checks')
 
 _INTERVAL_SECONDS = 0.3
-_PROBE_SECONDS = 0.5
-_REPORT_SECONDS = 0.5
+_PROBE_TIMEOUT_SECONDS = 0.5
+_REPORT_TIMEOUT_SECONDS = 0.5
 _MAX_REPORT_BYTES = 64 * 1024
-_OK = 200
+_HTTP_OK = 200
 _HEALTH_BY_STATUS = {
     'ok': Health.good,
     'good': Health.good,
@@ -94,11 +94,11 @@
 
 
 async def probe(address: Address, health_monitor: HealthMonitor) -> None:
-    """Open and close one connection and report the result to the judge."""
+    """Open and close one connection; report the result to the monitor."""
     loop = asyncio.get_running_loop()
     started = loop.time()
     try:
-        async with asyncio.timeout(_PROBE_SECONDS):
+        async with asyncio.timeout(_PROBE_TIMEOUT_SECONDS):
             _reader, writer = await asyncio.open_connection(*address)
     except (OSError, TimeoutError):
         health_monitor.note_failure()
@@ -110,21 +110,21 @@
 async def read_report(url: str) -> LoadReport:
     """Fetch a report from a health endpoint.
 
-    A failed or timed out request gives a report as well.
+    If the request fails or times out, the report says ``Health.silent``.
     """
-    timeout = aiohttp.ClientTimeout(total=_REPORT_SECONDS)
+    timeout = aiohttp.ClientTimeout(total=_REPORT_TIMEOUT_SECONDS)
     try:
         async with (
             aiohttp.ClientSession(timeout=timeout) as session,
             session.get(url, allow_redirects=False) as answer,
         ):
             raw = await answer.content.read(_MAX_REPORT_BYTES)
-            return _parse(answer.status, raw)
+            return _parse_report(answer.status, raw)
     except (aiohttp.ClientError, OSError, TimeoutError):
         return LoadReport(Health.silent)
 
 
-def _parse(status: int, raw: bytes) -> LoadReport:
+def _parse_report(status: int, raw: bytes) -> LoadReport:
     try:
         document = json.loads(raw)
     except ValueError:
@@ -134,7 +134,7 @@
     health = _HEALTH_BY_STATUS.get(
         str(document.get('status', 'ok')), Health.bad
     )
-    if status != _OK and health is Health.good:
+    if status != _HTTP_OK and health is Health.good:
         health = Health.bad
     incarnation = document.get('incarnation')
     uptime = document.get('uptime')
--- a/siskinbank/sidecar/load_exchange.py
+++ b/siskinbank/sidecar/load_exchange.py
@@ -12,16 +12,17 @@
 __all__ = ('LoadExchange',)
 
 _INTERVAL_SECONDS = 0.5
+#: Maximum deviation, as a fraction of the interval.
 _JITTER = 0.2
 #: Peers to which each sidecar reports in each round, at any pool size.
-_PEERS_A_ROUND = 3
+_PEERS_PER_ROUND = 3
 #: Maximum number of hosts in one message, including the sender.
 _MAX_RECORDS = 24
-_AGE_UNITS_A_SECOND = 10
+_AGE_UNITS_PER_SECOND = 10
 
 
 class LoadExchange:
-    """Spreads loads through the pool by gossip with a fixed cost.
+    """Spreads loads through the pool by gossip, at a fixed cost per sidecar.
 
     Each message carries the sender's own load and a sample of the loads that
     it received from other hosts, with their ages.
@@ -49,9 +50,9 @@
         if service is None or host is None or not self._context.accepts_work:
             return
         peers = self.loads.hosts
-        sent = self._report(service, host)
-        for peer in self._rng.sample(peers, min(_PEERS_A_ROUND, len(peers))):
-            self._context.peers.send_message(sent, peer.address)
+        message = self._report(service, host)
+        for peer in self._rng.sample(peers, min(_PEERS_PER_ROUND, len(peers))):
+            self._context.peers.send_message(message, peer.address)
         self.loads.refresh()
 
     def receive_report(self, received: PoolLoad) -> None:
@@ -64,10 +65,10 @@
             self._context.process.metrics.count(Drop.malformed)
             return
         for seed, load, room, age in _records(received):
-            self.loads.note(seed, load, room, age / _AGE_UNITS_A_SECOND)
+            self.loads.note(seed, load, room, age / _AGE_UNITS_PER_SECOND)
         self.loads.refresh()
 
-    def _report(self, service: Service, own: Host) -> PoolLoad:
+    def _report(self, service: Service, own_host: Host) -> PoolLoad:
         now = self._context.process.timers.now
         admission = self._context.admission
         assert admission is not None
@@ -77,7 +78,7 @@
         room = admission.limits.connections.room
         return PoolLoad(
             service.ident,
-            [own.seed, *(host.seed for host, _ in known)],
+            [own_host.seed, *(host.seed for host, _ in known)],
             [admission.load, *(load.load for _, load in known)],
             [room, *(load.room for _, load in known)],
             [0, *(_age_units(now - load.at) for _, load in known)],
@@ -99,7 +100,7 @@
 
 
 def _age_units(seconds: float) -> int:
-    return round(seconds * _AGE_UNITS_A_SECOND)
+    return round(seconds * _AGE_UNITS_PER_SECOND)
 
 
 def _records(received: PoolLoad) -> Iterator[tuple[int, int, int, int]]:
--- a/siskinbank/sidecar/owner_probes.py
+++ b/siskinbank/sidecar/owner_probes.py
@@ -1,16 +1,17 @@
-"""Probes that ask other hosts whether they own a flow that looks new."""
+"""Probes that ask other hosts whether they own a flow that is new here."""
 
 __all__ = ('OwnerProbes',)
 
 _MAX_PROBES = 10_000
 _MAX_TRIES = 2
 #: How long a probe may be in flight before it counts as lost.
-_OPEN_SECONDS = 0.5
+_IN_FLIGHT_SECONDS = 0.5
+#: Time after the last probe of a flow from which its tries count anew.
 _FORGET_SECONDS = 30
 
 
 class OwnerProbes:
-    """The recently sent probes by flow."""
+    """Table of the recently sent probes, by flow."""
 
     def __init__(self) -> None:
         """Create an empty table."""
@@ -33,10 +34,10 @@
         self._probes[flow] = (now, tries + 1)
         return True
 
-    def is_open(self, flow: bytes, now: float) -> bool:
+    def is_in_flight(self, flow: bytes, now: float) -> bool:
         """Return whether a probe of the flow is still in flight."""
-        asked = self._probes.get(flow)
-        return asked is not None and now - asked[0] < _OPEN_SECONDS
+        probe = self._probes.get(flow)
+        return probe is not None and now - probe[0] < _IN_FLIGHT_SECONDS
 
     def end(self, flow: bytes) -> None:
         """Remove a flow that was admitted."""
--- a/siskinbank/sidecar/packets.py
+++ b/siskinbank/sidecar/packets.py
@@ -7,10 +7,10 @@
 from siskinbank.kernel.incarnation import make_incarnation, same_host
 from siskinbank.kernel.reasons import Drop, GivenUp
 from siskinbank.kernel.suspension import SuspensionDetector
-from siskinbank.sidecar.announcer import Announcer, read_numbers
+from siskinbank.sidecar.announcer import Announcer, unpack_flow_numbers
 from siskinbank.sidecar.context import SidecarContext
 from siskinbank.sidecar.deflection import choose_candidates, try_admit
-from siskinbank.sidecar.flow_accounting import FlowAccounting, service_ends
+from siskinbank.sidecar.flow_accounting import FlowAccounting, service_endpoints
 from siskinbank.sidecar.flows import OwnedFlow, Pointer, PointerTable
 from siskinbank.sidecar.forwarder import Forwarder
 from siskinbank.sidecar.load_exchange import LoadExchange
@@ -38,20 +38,20 @@
 
 _EXPIRE_SECONDS = 5
 _MAX_POINTERS = 100_000
-#: How long later packets of a flow that was forwarded as new follow it.
-_FORWARDED_SECONDS = 10
-#: The hop from which packets no longer follow such a flow.
-_FORWARDED_HOPS = 3
-#: The time after a start until the pool has sent its pointers again.
+#: Lifetime of the pointer to the host to which a new flow was forwarded.
+_FORWARD_POINTER_SECONDS = 10
+#: The hop from which packets no longer follow such a pointer.
+_FORWARD_POINTER_HOPS = 3
+#: Time after a start in which other hosts send their pointers again.
 _REFILL_SECONDS = 2
 #: How long after a start an unknown flow may be of an earlier incarnation.
 _RECOVERY_SECONDS = 900
-#: The lease of the pointers to a host after it has restarted.
+#: New lease of the pointers to a host's earlier incarnations when it restarts.
 _RESTART_LEASE_SECONDS = 900
 
 
 class PacketHandler:
-    """Handles the packets of one sidecar."""
+    """Handles the packets and the flow messages of one sidecar."""
 
     def __init__(
         self,
@@ -78,7 +78,7 @@
         )
         self._name = context.process.name
         self._started: float | None = None
-        self._service = 0
+        self._service_ident = 0
         self.incarnation = make_incarnation(self._name)
         self._accounting = FlowAccounting(context)
         self.flows = self._accounting.flows
@@ -115,7 +115,7 @@
         Returns:
             False if the packet needs the full path.
         """
-        owned_packet = read_owned(body, self._service)
+        owned_packet = read_owned(body, self._service_ident)
         if owned_packet is None:
             return False
         owned = self.flows.get(owned_packet[0])
@@ -139,7 +139,7 @@
         if not _is_for_service(envelope, packet, self._context.service):
             self._forward_newer(envelope)
         elif self._context.is_out:
-            self._forward_out(envelope, packet)
+            self._forward_out_of_service(envelope, packet)
         elif not self._deliver_owned(envelope, packet):
             self._find_owner(envelope, packet)
 
@@ -151,7 +151,7 @@
             self._receive_ownership(received)
 
     def _receive_ownership(self, received: Moved | Restarted) -> None:
-        if received.service != self._service:
+        if received.service != self._service_ident:
             self._metrics.count(Drop.wrong_service)
         elif isinstance(received, Moved):
             self._store_pointers(received)
@@ -173,7 +173,7 @@
             received.generation,
             self._timers.now + received.lease_seconds,
         )
-        for number in read_numbers(received.flows):
+        for number in unpack_flow_numbers(received.flows):
             self.pointers.put(number, pointer)
 
     def _deliver_owned(self, envelope: Envelope, packet: InnerPacket) -> bool:
@@ -224,8 +224,8 @@
         pointer = self.pointers.get(number, self._timers.now)
         if pointer is None or not _may_follow(envelope, pointer):
             return False
-        # A sender that names this host as the owner is more reliable than the
-        # pointer to where an earlier copy was forwarded.
+        # A sender that names this host as the owner is more reliable than a
+        # pointer that only says where an earlier copy was forwarded.
         if not pointer.incarnation and self._is_named_owner(envelope):
             return False
         prober = _prober(envelope)
@@ -263,12 +263,12 @@
             self._forward(envelope, packet, number)
 
     def _admit_in_race(self, envelope: Envelope, packet: InnerPacket) -> bool:
-        """Admit a flow that was offered to two hosts at once, if this one wins.
+        """Admit a flow offered to two hosts at once, if this one has priority.
 
         Both hosts probe each other; the one with the lower address admits it.
         """
         prober = envelope.candidates[-1]
-        if self._own_address > prober or not self._probes.is_open(
+        if self._own_address > prober or not self._probes.is_in_flight(
             packet.flow,
             self._timers.now,
         ):
@@ -316,7 +316,7 @@
     def _may_be_own(self, envelope: Envelope, packet: InnerPacket) -> bool:
         """Return whether an earlier incarnation may have owned a flow.
 
-        That is so if the sender names this host as the owner, or if this
+        This is possible if the sender names this host as the owner, or if this
         process started recently and the entry offered the packet here first.
         A restart of the sidecar alone does not affect the upstream's
         connections.
@@ -379,11 +379,11 @@
             self._forwarder.extend(envelope, rank(number))
             receiver = self._forwarder.send_to_next(envelope)
         if receiver is None:
-            self._end_search(envelope, packet, number, opens=opens)
+            self._handle_no_receiver(envelope, packet, number, opens=opens)
         elif opens:
             self._add_forward_pointer(number, receiver)
 
-    def _end_search(
+    def _handle_no_receiver(
         self,
         envelope: Envelope,
         packet: InnerPacket,
@@ -391,10 +391,10 @@
         *,
         opens: bool,
     ) -> None:
-        """Drop a packet that no host can accept.
+        """Handle a packet for which no receiver is left; usually drop it.
 
-        If it came in a probe whose prober can no longer be reached, it is
-        offered to the pool like the packet of any new flow.
+        If the packet came in a probe and the prober can no longer be reached,
+        it is offered to the pool like the packet of any new flow.
         """
         if opens:
             self._metrics.count(Drop.at_limit)
@@ -419,27 +419,30 @@
         )
 
     def _add_forward_pointer(self, number: int, receiver: bytes) -> None:
-        """Store a short-lived pointer to which copies of the packet go."""
+        """Store a short-lived pointer, so that copies of the packet follow."""
         self.pointers.put(
             number,
             Pointer(
                 receiver,
                 0,
                 self._context.view.generation,
-                self._timers.now + _FORWARDED_SECONDS,
+                self._timers.now + _FORWARD_POINTER_SECONDS,
             ),
         )
 
     def _forward_newer(self, envelope: Envelope) -> None:
-        """Forward a packet whose sender has a newer generation than this host.
+        """Forward a packet of another service if its sender has a newer view.
 
-        A packet of another service is dropped.
+        In the newer generation this host may serve that service. Without one
+        the packet is dropped.
         """
         ahead = envelope.generation > self._context.view.generation
         if not ahead or not self._forwarder.send_to_next(envelope):
             self._metrics.count(Drop.wrong_service)
 
-    def _forward_out(self, envelope: Envelope, packet: InnerPacket) -> None:
+    def _forward_out_of_service(
+        self, envelope: Envelope, packet: InnerPacket
+    ) -> None:
         """Forward a packet while this data centre is out of service.
 
         The flows that this host owned have been abandoned.
@@ -462,12 +465,12 @@
 
     def _refresh(self) -> None:
         service = self._context.service
-        self._service = service.ident if service else 0
+        self._service_ident = service.ident if service else 0
         if service is None:
             self._accounting.abandon_all(GivenUp.removed)
             return
         if self._context.is_out:
-            self._service = 0
+            self._service_ident = 0
             self._accounting.abandon_all(GivenUp.centre_out)
             return
         self._accounting.abandon_reassigned(service)
@@ -493,16 +496,20 @@
 def _may_follow(envelope: Envelope, pointer: Pointer) -> bool:
     """Return whether a packet may be forwarded to a pointer's host.
 
-    A flow that was only forwarded may have been refused there. Its packets
-    must not loop between hosts until the hop limit.
+    A pointer without an incarnation only says where a flow was forwarded; the
+    flow may have been refused there. Its packets must not loop between hosts
+    until the hop limit.
     """
     if pointer.incarnation:
         return True
-    return envelope.hops < _FORWARDED_HOPS and not envelope.flags & WHOLE_POOL
+    return (
+        envelope.hops < _FORWARD_POINTER_HOPS
+        and not envelope.flags & WHOLE_POOL
+    )
 
 
 def _prober(envelope: Envelope) -> bytes | None:
-    """Return the address of the host that sent a probe, None if it is none."""
+    """Return the address of a probe's sender, or None if it is no probe."""
     if envelope.flags & PROBE and envelope.candidates:
         return envelope.candidates[-1]
     return None
@@ -515,4 +522,4 @@
 ) -> bool:
     if service is None or envelope.service != service.ident:
         return False
-    return (packet.target, packet.target_port) in service_ends(service)
+    return (packet.target, packet.target_port) in service_endpoints(service)
--- a/siskinbank/sidecar/pool_history.py
+++ b/siskinbank/sidecar/pool_history.py
@@ -10,9 +10,12 @@
 
 #: How long other processes may still use the ranking of an earlier generation.
 SKEW_SECONDS = 60
-_MAX_EARLIER = 4
-_TARGETS = 2
-_UNSTABLE_TARGETS = 3
+_MAX_EARLIER_RANKINGS = 4
+#: Number of other hosts to which a flow is announced if its owner isn't its
+#: primary host.
+_ANNOUNCEMENT_TARGETS = 2
+#: Number of other hosts to which a new flow is announced in an unstable pool.
+_UNSTABLE_ANNOUNCEMENT_TARGETS = 3
 
 
 class PoolHistory:
@@ -33,7 +36,7 @@
 
     @property
     def joined_recently(self) -> bool:
-        """Return whether others may use a pool without this process."""
+        """Return whether other processes may use a pool without this host."""
         if self._joined is None:
             return True
         return self._clock() - self._joined <= SKEW_SECONDS
@@ -47,7 +50,7 @@
             self._joined = now
         if self._current is not None:
             self._earlier.append((now, self._current))
-            del self._earlier[:-_MAX_EARLIER]
+            del self._earlier[:-_MAX_EARLIER_RANKINGS]
         self._current = ranks
         self._changed = now
         return True
@@ -61,51 +64,51 @@
         return self._current.fresh(number) if self._current else []
 
     def announcement_targets(
-        self, number: int, own: str, *, new: bool
+        self, number: int, own_name: str, *, new: bool
     ) -> list[Host]:
-        """Return the hosts to which ``own`` announces that it owns a flow.
+        """Return the hosts to which ``own_name`` announces that it owns a flow.
 
         These are the hosts that other processes ask first: by the current
         ranking, and by earlier ones that may still be in use elsewhere. A
-        process whose pool does not contain ``own`` yet asks the next host by
-        rank.
+        process whose pool does not contain ``own_name`` yet asks the next
+        host by rank.
 
         Args:
             number: the flow's number.
-            own: the owner's name.
+            own_name: the owner's name.
             new: whether the flow was just opened.
         """
         ranked = self.known(number)
-        others = [host for host in ranked if host.name != own]
+        others = [host for host in ranked if host.name != own_name]
         if new and not self.is_stable:
-            targets = others[:_UNSTABLE_TARGETS]
-        elif ranked and ranked[0].name == own:
+            targets = others[:_UNSTABLE_ANNOUNCEMENT_TARGETS]
+        elif ranked and ranked[0].name == own_name:
             targets = []
         else:
-            targets = others[:_TARGETS]
+            targets = others[:_ANNOUNCEMENT_TARGETS]
         targets.extend(self._earlier_primaries(number))
-        return _unique(targets, own)
+        return _unique(targets, own_name)
 
     def possible_owners(
-        self, number: int, own: str, *, first: bool
+        self, number: int, own_name: str, *, first: bool
     ) -> list[Host]:
-        """Return the hosts that may have admitted a flow before ``own``.
+        """Return the hosts that may have admitted a flow before ``own_name``.
 
         Args:
             number: the flow's number.
-            own: the name of the host that is asked to admit it.
-            first: whether entries offer such a packet by the ``fresh``
-                ranking.
+            own_name: the name of the host that is to admit it now.
+            first: whether the packet opens a TCP connection; entries offer
+                such a packet by the ``fresh`` ranking.
         """
         offered = self.fresh(number) if first else self.known(number)
         targets = offered[:1]
         if not self.is_stable:
             # A process that joined recently has no earlier rankings and asks
             # all hosts.
-            asked = None if self.joined_recently else 1
-            targets.extend(self.known(number)[:asked])
+            count = None if self.joined_recently else 1
+            targets.extend(self.known(number)[:count])
             targets.extend(self._earlier_primaries(number))
-        return _unique(targets, own)
+        return _unique(targets, own_name)
 
     def _earlier_primaries(self, number: int) -> Iterator[Host]:
         since = self._clock() - SKEW_SECONDS
@@ -115,6 +118,6 @@
                 yield from ranks.fresh(number)[:1]
 
 
-def _unique(hosts: Iterable[Host], own: str) -> list[Host]:
-    named = {host.name: host for host in hosts if host.name != own}
+def _unique(hosts: Iterable[Host], own_name: str) -> list[Host]:
+    named = {host.name: host for host in hosts if host.name != own_name}
     return list(named.values())
--- a/siskinbank/sidecar/primary_hosts.py
+++ b/siskinbank/sidecar/primary_hosts.py
@@ -8,8 +8,9 @@
 
 __all__ = ('SETTLE_SECONDS', 'PrimaryHostHistory')
 
-#: How long a host must have been the primary host of a key before it runs the
-#: key, and the longest time after its first try that a key may be sent again.
+#: How long a host must have been the primary host of a key before it runs
+#: requests with the key, and the longest time after its first try that a
+#: request may be sent again under its key.
 SETTLE_SECONDS = 30.0
 
 
@@ -17,8 +18,8 @@
     """Tracks the primary hosts of keys over the last ``SETTLE_SECONDS``.
 
     The primary host of a key is the host that ranks first for it. A former
-    primary host may have run the key, so a new one waits until no caller
-    sends the key again.
+    primary host may have run a request with the key, so a new one waits until
+    no caller sends the key again.
     """
 
     def __init__(self, context: SidecarContext) -> None:
@@ -32,10 +33,10 @@
         context.view.subscribe(self._refresh)
 
     def unresolved_seconds(self, key: str) -> float:
-        """Return the seconds until this host may run a key without asking.
+        """Return the seconds until a key need not be fenced at other hosts.
 
-        The result is 0 if it may run the key now, and ``SETTLE_SECONDS`` if
-        it isn't the key's primary host.
+        The result is 0 if this host may run requests with the key now, and
+        ``SETTLE_SECONDS`` if it isn't the key's primary host.
         """
         digest = digest64(key)
         if not self._is_primary(self._current, digest):
@@ -52,7 +53,7 @@
     def former_primaries(self, key: str) -> list[Host] | None:
         """Return the other hosts that were recently the primary of a key.
 
-        None means that asking them would not resolve the outcome: this host
+        None means that fencing the key at them would not suffice: this host
         is not the primary host of the key, or it joined the pool so recently
         that it does not know the former ones.
         """
@@ -73,7 +74,10 @@
         return list(primaries.values())
 
     def recently_started(self) -> bool:
-        """Return whether an earlier incarnation may have run recent keys."""
+        """Return whether this process started less than ``SETTLE_SECONDS`` ago.
+
+        An earlier incarnation may then have run recent requests.
+        """
         return self._context.now - self._started < SETTLE_SECONDS
 
     def _is_primary(self, rank: Rank, digest: int) -> bool:
--- a/siskinbank/sidecar/requests.py
+++ b/siskinbank/sidecar/requests.py
@@ -51,9 +51,9 @@
 
 _RETRY_AFTER_SECONDS = 1.0
 _LINGER_SECONDS = 3
-_MAX_RUNNING_A_LINK = 10_000
+_MAX_REQUESTS_PER_LINK = 10_000
 #: Statuses of an upstream that is overloaded or has no backend.
-_OVERLOADED = frozenset((502, 503, 504))
+_OVERLOADED_STATUSES = frozenset((502, 503, 504))
 _RUNS_METRIC = 'requests_run'
 #: Errors after which the upstream may have read part of the request.
 _FAILURES = (aiohttp.ClientError, BodyTruncatedError, OSError, ValueError)
@@ -65,33 +65,33 @@
 
 
 @dataclass(slots=True)
-class _Running:
-    """One request that is being received or run."""
+class _RunningRequest:
+    """A request that is being received or run."""
 
     head: RequestHead
-    link: '_EntryLink'
+    link: '_ServedLink'
     body: BodyReader
     window: SendWindow
     task: asyncio.Task[None] | None = None
 
 
-class _EntryLink:
-    """The stream of one entry and its requests by number."""
+class _ServedLink:
+    """The stream of an entry or another sidecar and its requests by number."""
 
     def __init__(self, stream: MessageStream) -> None:
         self.stream = stream
-        self.running: dict[int, _Running] = {}
-        self.highest = 0
+        self.running: dict[int, _RunningRequest] = {}
+        self.highest_number = 0
         self.ended = asyncio.Event()
 
     def post(self, sent: Message) -> None:
-        """Send one short message; the reader detects a lost link."""
+        """Send one short message; a lost link is detected by ``receive``."""
         if not self.stream.writer.is_closing():
             self.stream.post(sent)
 
 
 class RequestServer:
-    """Serves the request streams of all entries."""
+    """Serves the request streams of entries and other sidecars."""
 
     def __init__(self, context: SidecarContext) -> None:
         """Initialize a server for the context's upstream."""
@@ -102,12 +102,14 @@
         )
         self._slots = SlotQueue(context)
         self._client: UpstreamClient | None = None
-        self._links: set[_EntryLink] = set()
+        self._links: set[_ServedLink] = set()
         self._tasks: set[asyncio.Task[None]] = set()
-        self._starts: dict[type[Message], Callable[[Any, _EntryLink], None]] = {
-            RequestHead: self._start,
-            IssueTicket: self._issue,
-            FenceKey: self._fence,
+        self._handlers: dict[
+            type[Message], Callable[[Any, _ServedLink], None]
+        ] = {
+            RequestHead: self._start_request,
+            IssueTicket: self._issue_ticket,
+            FenceKey: self._fence_key,
             Ping: lambda asked, link: link.post(asked),
         }
         context.process.open_work['requests'] = lambda: len(self._tasks)
@@ -115,7 +117,7 @@
 
     async def serve(self, stream: MessageStream) -> None:
         """Serve one stream until its end, then cancel its open requests."""
-        link = _EntryLink(stream)
+        link = _ServedLink(stream)
         self._links.add(link)
         link.post(
             LinkOpened(
@@ -143,14 +145,14 @@
         links.
         """
         for link in self._links:
-            link.post(GoAway(link.highest))
+            link.post(GoAway(link.highest_number))
         while self._tasks:
             await asyncio.wait(self._tasks)
-        leaving = [
-            asyncio.create_task(left.ended.wait()) for left in self._links
+        waits = [
+            asyncio.create_task(served.ended.wait()) for served in self._links
         ]
-        if leaving:
-            await asyncio.wait(leaving, timeout=_LINGER_SECONDS)
+        if waits:
+            await asyncio.wait(waits, timeout=_LINGER_SECONDS)
 
     async def _close(self) -> None:
         tasks = list(self._tasks)
@@ -160,7 +162,7 @@
         if self._client is not None:
             await self._client.close()
 
-    def _close_link(self, link: _EntryLink) -> None:
+    def _close_link(self, link: _ServedLink) -> None:
         self._links.discard(link)
         link.ended.set()
         if link.stream.dropped:
@@ -168,20 +170,20 @@
         for request in list(link.running.values()):
             _cancel(request)
 
-    def _dispatch(self, received: Message, link: _EntryLink) -> None:
-        start = self._starts.get(type(received))
-        if start is not None:
-            start(received, link)
+    def _dispatch(self, received: Message, link: _ServedLink) -> None:
+        handler = self._handlers.get(type(received))
+        if handler is not None:
+            handler(received, link)
         elif isinstance(received, BodyPart | Credit | Cancel):
             request = link.running.get(received.number)
             if request is not None:
-                self._continue(request, received)
+                self._continue_request(request, received)
         else:
             self._metrics.count(Drop.malformed)
 
-    def _continue(
+    def _continue_request(
         self,
-        request: _Running,
+        request: _RunningRequest,
         received: BodyPart | Credit | Cancel,
     ) -> None:
         """Handle a message that belongs to an open request."""
@@ -196,36 +198,38 @@
             self._metrics.count(problem)
             request.body.fail(BodyTruncatedError(problem.value))
 
-    def _start(self, head: RequestHead, link: _EntryLink) -> None:
+    def _start_request(self, head: RequestHead, link: _ServedLink) -> None:
         if not self._use_number(head.number, link):
             return
-        if len(link.running) >= _MAX_RUNNING_A_LINK:
+        if len(link.running) >= _MAX_REQUESTS_PER_LINK:
             self._refuse(head, link, Refusal.at_limit)
             return
         body = BodyReader(head.number, link.post)
-        request = _Running(head, link, body, SendWindow())
+        request = _RunningRequest(head, link, body, SendWindow())
         link.running[head.number] = request
         task = asyncio.create_task(self._run(request))
         request.task = task
         self._tasks.add(task)
         task.add_done_callback(lambda done: self._finish(request, done))
 
-    def _use_number(self, number: int, link: _EntryLink) -> bool:
+    def _use_number(self, number: int, link: _ServedLink) -> bool:
         """Mark a number as used; return False if it was used before."""
-        if number <= link.highest:
+        if number <= link.highest_number:
             self._metrics.count(Drop.reused_number)
             return False
-        link.highest = number
+        link.highest_number = number
         return True
 
-    def _finish(self, request: _Running, task: asyncio.Task[None]) -> None:
+    def _finish(
+        self, request: _RunningRequest, task: asyncio.Task[None]
+    ) -> None:
         self._tasks.discard(task)
         request.link.running.pop(request.head.number, None)
         if not task.cancelled() and task.exception() is not None:
             self._metrics.count(Doubt.failed)
             self._fail(request, Doubt.failed)
 
-    def _issue(self, asked: IssueTicket, link: _EntryLink) -> None:
+    def _issue_ticket(self, asked: IssueTicket, link: _ServedLink) -> None:
         if not self._use_number(asked.number, link):
             return
         reason = self._refusal(asked.service)
@@ -240,7 +244,7 @@
         issued = self._claims.office.issue(asked.service, asked.key)
         link.post(TicketIssued(asked.number, issued, TICKET_SECONDS))
 
-    def _fence(self, asked: FenceKey, link: _EntryLink) -> None:
+    def _fence_key(self, asked: FenceKey, link: _ServedLink) -> None:
         if not self._use_number(asked.number, link):
             return
         if self._claims.fence(asked.service, asked.key):
@@ -249,7 +253,7 @@
         self._metrics.count(Doubt.unsettled)
         link.post(Failed(asked.number, Doubt.unsettled.value, 0))
 
-    async def _run(self, request: _Running) -> None:
+    async def _run(self, request: _RunningRequest) -> None:
         head = request.head
         if header_problem(head.headers) or target_problem(
             head.method,
@@ -257,12 +261,12 @@
         ):
             self._refuse(head, request.link, Refusal.malformed)
             return
-        claim = await self._claims.claim(head)
-        if isinstance(claim, Doubt):
-            self._metrics.count(claim)
-            self._fail(request, claim, self._claims.retry_after(head, claim))
+        cause = await self._claims.claim(head)
+        if isinstance(cause, Doubt):
+            self._metrics.count(cause)
+            self._fail(request, cause, self._claims.retry_after(head, cause))
             return
-        reason = claim or await self._admit(head)
+        reason = cause or await self._admit(head)
         if reason is not None:
             self._refuse(head, request.link, reason)
             return
@@ -299,12 +303,12 @@
     def _refuse(
         self,
         head: RequestHead,
-        link: _EntryLink,
+        link: _ServedLink,
         reason: Refusal,
     ) -> None:
         self._metrics.count(reason)
-        pause = self._retry_after(reason)
-        link.post(Refused(head.number, reason.value, pause))
+        retry_after = self._retry_after(reason)
+        link.post(Refused(head.number, reason.value, retry_after))
 
     def _retry_after(self, reason: Refusal) -> float:
         """Return the seconds after which the caller may retry."""
@@ -320,7 +324,7 @@
 
     def _fail(
         self,
-        request: _Running,
+        request: _RunningRequest,
         doubt: Doubt,
         retry_after: float = 0,
     ) -> None:
@@ -328,7 +332,7 @@
             Failed(request.head.number, doubt.value, retry_after),
         )
 
-    async def _send_upstream(self, request: _Running) -> None:
+    async def _send_upstream(self, request: _RunningRequest) -> None:
         base = self._context.settings.upstream_http
         assert base is not None
         if self._client is None:
@@ -336,7 +340,7 @@
         head = request.head
         left = head.due - self._context.now
         self._metrics.tally(_RUNS_METRIC)
-        asked = self._context.now
+        sent_at = self._context.now
         try:
             async with (
                 asyncio.timeout(left) as limit,
@@ -344,8 +348,12 @@
             ):
                 if not head.bounded:
                     limit.reschedule(None)
-                self._note_result(good=answer.status not in _OVERLOADED)
-                self._metrics.time('upstream_answer', self._context.now - asked)
+                self._note_result(
+                    good=answer.status not in _OVERLOADED_STATUSES
+                )
+                self._metrics.time(
+                    'upstream_answer', self._context.now - sent_at
+                )
                 await self._forward_answer(request, answer)
         except _CONNECT_FAILURES:
             self._note_result(good=False)
@@ -364,7 +372,7 @@
 
     async def _forward_answer(
         self,
-        request: _Running,
+        request: _RunningRequest,
         answer: aiohttp.ClientResponse,
     ) -> None:
         number = request.head.number
@@ -373,7 +381,7 @@
             AnswerHead(
                 number,
                 answer.status,
-                _length(answer),
+                _content_length(answer),
                 self._context.now,
                 forwarded_headers(answer.headers),
             ),
@@ -385,12 +393,12 @@
         await send_body(number, read, stream.send, request.window)
 
 
-def _length(answer: aiohttp.ClientResponse) -> int:
+def _content_length(answer: aiohttp.ClientResponse) -> int:
     declared = answer.content_length
     return -1 if declared is None else declared
 
 
-def _cancel(request: _Running) -> None:
+def _cancel(request: _RunningRequest) -> None:
     request.body.fail(BodyTruncatedError('cancelled'))
     if request.task is not None:
         request.task.cancel()
--- a/siskinbank/sidecar/slots.py
+++ b/siskinbank/sidecar/slots.py
@@ -1,4 +1,4 @@
-"""The upstream's slots and the short bounded queue for them."""
+"""Short bounded queue of requests for the upstream's slots."""
 
 import asyncio
 from collections import deque
@@ -9,9 +9,9 @@
 __all__ = ('SlotQueue',)
 
 _MAX_WAIT_SECONDS = 0.5
-_WAKE_SECONDS = 0.1
-#: Length of the queue for each slot.
-_QUEUED_A_SLOT = 1
+_WAKE_INTERVAL_SECONDS = 0.1
+#: Maximum length of the queue, per slot.
+_MAX_QUEUED_PER_SLOT = 1
 
 
 class SlotQueue:
@@ -21,7 +21,7 @@
         """Initialize a queue for the slots of the context's limits."""
         self._context = context
         self._waiting: deque[asyncio.Future[None]] = deque()
-        context.process.timers.every(_WAKE_SECONDS, self._wake)
+        context.process.timers.every(_WAKE_INTERVAL_SECONDS, self._wake)
 
     @property
     def full(self) -> bool:
@@ -30,7 +30,7 @@
         if limits is None:
             return True
         limit = limits.slots.limit
-        queue_size = max(limit, 1) * _QUEUED_A_SLOT
+        queue_size = max(limit, 1) * _MAX_QUEUED_PER_SLOT
         return limits.slots.used + len(self._waiting) >= limit + queue_size
 
     async def take(self, due: float) -> Refusal | None:
--- a/siskinbank/sidecar/streams.py
+++ b/siskinbank/sidecar/streams.py
@@ -1,4 +1,4 @@
-"""Accept streams from entries: tunnels and numbered requests."""
+"""Accept tunnels and numbered requests of entries and other sidecars."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -19,7 +19,7 @@
 
 __all__ = ('start_streams',)
 
-_HELLO_SECONDS = 5
+_HELLO_TIMEOUT_SECONDS = 5
 
 
 async def start_streams(
@@ -73,7 +73,7 @@
     stream: MessageStream,
 ) -> Message | None:
     try:
-        async with asyncio.timeout(_HELLO_SECONDS):
+        async with asyncio.timeout(_HELLO_TIMEOUT_SECONDS):
             return await stream.receive()
     except (MessageError, TimeoutError, OSError):
         context.process.metrics.count(Refusal.malformed)
@@ -97,7 +97,7 @@
     stream: MessageStream,
     hello: OpenTunnel,
 ) -> None:
-    reason = _refusal(context, hello)
+    reason = _reserve_connection(context, hello)
     if reason is not None:
         context.process.metrics.count(reason)
         await stream.send(Refused(0, reason.value, 1))
@@ -120,8 +120,10 @@
         limits.connections.give_back()
 
 
-def _refusal(context: SidecarContext, hello: OpenTunnel) -> Refusal | None:
-    """Reserve a connection, or return the reason why it is refused."""
+def _reserve_connection(
+    context: SidecarContext, hello: OpenTunnel
+) -> Refusal | None:
+    """Reserve a connection; return the reason if it is refused, else None."""
     service = context.service
     if service is None or hello.service != service.ident:
         return Refusal.wrong_service
--- a/siskinbank/sidecar/tracked_flows.py
+++ b/siskinbank/sidecar/tracked_flows.py
@@ -1,7 +1,7 @@
 """The flows of a sidecar's host, and the requests in them.
 
-A sidecar sees every packet of its host in both directions, so it can track the
-requests in progress without asking the host.
+A sidecar handles all packets to and from its host, so it can track the requests
+in progress without querying the host.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 if TYPE_CHECKING:
     from siskinbank.relay.messages import Opening
 
-__all__ = ('TrackedFlow', 'Request', 'PendingPacket')
+__all__ = ('PendingPacket', 'Request', 'TrackedFlow')
 
 _NO_SEQUENCE = -1
 
@@ -29,7 +29,7 @@
 
     Attributes:
         began: when its first packet was received.
-        name: the request id from the client, for the logs.
+        name: the id that the client gave the request, for the logs.
         waited: whether it was queued because all slots were in use.
     """
 
@@ -46,7 +46,7 @@
     """A flow that the host has accepted.
 
     Attributes:
-        entry: address of the entry that its packets come from.
+        entry: IP address of the entry that last sent a packet or query for it.
         client: address to which packets for the client are sent.
         number: the host's initial sequence number, 0 if unknown.
         established: whether the host has sent more than its SYN.
@@ -104,10 +104,11 @@
     """A packet sent to the host, whose flow the host may refuse or not know.
 
     Attributes:
-        entry: the entry that waits for the result.
+        entry: IP address of the entry that the packet came from.
         seen: when the packet was sent to the host.
-        searching: whether other hosts are asked at the same time.
-        relayed: whether the entry has queued the packet and needs no copy.
+        searching: whether the entry searches for the flow at other hosts, too.
+        relayed: whether the packet came in a RELAYED message; its entry still
+            has it queued and needs no copy.
         packet: the packet.
         opening: the message that carried a first packet.
     """
--- a/siskinbank/sidecar/upstream.py
+++ b/siskinbank/sidecar/upstream.py
@@ -12,10 +12,10 @@
 
 __all__ = ('UpstreamClient',)
 
-_CONNECT_SECONDS = 2
-#: No limit: the slots bound the number of requests.
+_CONNECT_TIMEOUT_SECONDS = 2
+#: 0 means no limit; the slots bound the number of requests.
 _MAX_CONNECTIONS = 0
-_LENGTH = 'Content-Length'
+_LENGTH_HEADER = 'Content-Length'
 
 
 class UpstreamClient:
@@ -29,8 +29,8 @@
     def __init__(self, base: str) -> None:
         """Initialize a client of the upstream at the URL ``base``."""
         self._base = base.rstrip('/')
-        self._reused = _open_session(force_close=False)
-        self._single_use = _open_session(force_close=True)
+        self._keep_alive_session = _open_session(force_close=False)
+        self._single_use_session = _open_session(force_close=True)
 
     def send(
         self,
@@ -48,11 +48,15 @@
             left: the seconds until its deadline.
             read: returns the next bytes of its body, empty at the end.
         """
-        session = self._reused if head.idempotent else self._single_use
+        session = (
+            self._keep_alive_session
+            if head.idempotent
+            else self._single_use_session
+        )
         headers = [(name, text) for name, text in head.headers]
         headers.append((DEADLINE_HEADER, f'{max(left, 0):.3f}'))
         if head.length > 0:
-            headers.append((_LENGTH, str(head.length)))
+            headers.append((_LENGTH_HEADER, str(head.length)))
         context: Any = session.request(
             head.method,
             URL(f'{self._base}{head.target}', encoded=True),
@@ -65,8 +69,8 @@
 
     async def close(self) -> None:
         """Close all connections."""
-        await self._reused.close()
-        await self._single_use.close()
+        await self._keep_alive_session.close()
+        await self._single_use_session.close()
 
 
 def _open_session(*, force_close: bool) -> aiohttp.ClientSession:
@@ -79,7 +83,7 @@
         cookie_jar=aiohttp.DummyCookieJar(),
         timeout=aiohttp.ClientTimeout(
             total=None,
-            sock_connect=_CONNECT_SECONDS,
+            sock_connect=_CONNECT_TIMEOUT_SECONDS,
         ),
     )
 
--- a/tests/platform/test_packets.py
+++ b/tests/platform/test_packets.py
@@ -39,7 +39,7 @@
 
 
 class TestHead(unittest.TestCase):
-    """Reading and writing of packet headers."""
+    """Decoding and encoding of packet headers."""
 
     def test_published_example(self) -> None:
         """A SYN is decoded, and its reset matches the example."""
@@ -67,7 +67,7 @@
         self.assertEqual((reset.source, reset.target), (SERVICE, CLIENT))
         self.assertEqual((reset.checksum, reset.content), (0, b''))
 
-    def test_not_bounced_clears_the_flag(self) -> None:
+    def test_clear_bounced(self) -> None:
         """Only the bounced flag is removed from the packet."""
         raw = Packet(CLIENT, SERVICE, ACK, 5, 6, b'data').write()
         bounced = bytearray(raw)
--- a/tests/platform/test_records.py
+++ b/tests/platform/test_records.py
@@ -1,4 +1,4 @@
-"""Tests of host entries and the operator's configuration."""
+"""Tests of host records and the operator's configuration."""
 
 import json
 import unittest
@@ -32,12 +32,12 @@
 
 
 def changed_entry(**fields: Any) -> bytes:
-    """Return the entry with some fields changed."""
+    """Return the encoded record with some fields changed."""
     return json.dumps({**json.loads(ENTRY.encode()), **fields}).encode()
 
 
 class TestHost(unittest.TestCase):
-    """Decoding of host entries."""
+    """Decoding of host records."""
 
     def test_all_fields(self) -> None:
         """All fields are decoded."""
@@ -80,7 +80,7 @@
 
     @given(st.binary() | JSON.map(lambda value: json.dumps(value).encode()))
     def test_any_input(self, raw: bytes) -> None:
-        """Any input is decoded or raises Unreadable."""
+        """Any input is decoded or raises ``DocumentError``."""
         for read in (decode, decode_host, decode_configuration):
             with suppress(DocumentError):
                 read(raw)
@@ -104,8 +104,8 @@
         self.assertFalse(route.idempotent)
         self.assertEqual(warm_ups['matcher'].cold_requests_per_s, 4)
 
-    def test_shares_follow_their_weights(self) -> None:
-        """Draws follow the weights; a service of weight 0 gets none."""
+    def test_weighted_services(self) -> None:
+        """Services are chosen by weight; one of weight 0 gets no flows."""
         document = json.loads(
             encode_configuration(1, [RouteEntry('a', ('1.2.3.4', 80))]),
         )
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -18,7 +18,7 @@
 
 
 class TestPaths(unittest.TestCase):
-    """Request paths, decoded as the store does."""
+    """Request paths, decoded as the store decodes them."""
 
     def test_listing(self) -> None:
         """A listing continues after an escaped key."""
@@ -49,7 +49,7 @@
     """Decoding of responses."""
 
     def test_pages(self) -> None:
-        """A page has items, the revision and whether there are more items."""
+        """Items, revision and the flag for more items are decoded."""
         items = [Item('op/x', b'\x00\xff', 4), Item('op/y', None, 5)]
         page = read_page(encode_page(items, 9, more=True))
         self.assertEqual((page.revision, page.more), (9, True))
--- a/tests/sidecar/test_context.py
+++ b/tests/sidecar/test_context.py
@@ -10,7 +10,7 @@
 
 
 class TestRefusal(unittest.TestCase):
-    """Each state of a sidecar has its reason for refusal."""
+    """The reason for refusal in each state of a sidecar."""
 
     def refusal(self, state: str = 'active', **given: bool) -> Refusal | None:
         """Return the reason for refusal in one state of a sidecar."""
@@ -28,7 +28,7 @@
         return context.refusal
 
     def test_reasons(self) -> None:
-        """A process resumed with an old view refuses new work as well."""
+        """Draining, leaving, stopping and stale sidecars refuse new work."""
         draining = Refusal.draining
         self.assertIsNone(self.refusal())
         self.assertEqual(self.refusal('draining'), draining)
--- a/tests/sidecar/test_execution_claims.py
+++ b/tests/sidecar/test_execution_claims.py
@@ -1,4 +1,4 @@
-"""Tests that a request runs at most once: copies, changes, restarts."""
+"""Tests that a request runs at most once despite copies and restarts."""
 
 import asyncio
 import itertools
@@ -27,7 +27,7 @@
 
 
 def fail_first(step: tuple[type[Message], bool], fault: Fault) -> object:
-    """Return a script that applies one fault to one message."""
+    """Return a script that applies a fault to the first message of a step."""
     done = False
 
     def script(sent: Message, there: bool) -> Fault | None:
@@ -48,7 +48,7 @@
         step: tuple[type[Message], bool],
         fault: Fault,
     ) -> None:
-        """Send one ticket twice through a link that fails once."""
+        """Send one ticket twice over a link with one fault."""
         async with running_rig(entries=2, hosts=1) as rig:
             link = rig.hosts['matcher-1'].link
             ticket = await self.take_ticket(rig.urls()[0])
@@ -121,14 +121,14 @@
             'drained': self.drain,
             'gone': self.remove,
             'sidecar restarted': self.restart,
-            'seen by one entry only': self.change_unevenly,
+            'seen by one entry only': self.drain_for_some,
         }
         for name, change in changes.items():
             with self.subTest(name):
                 await self.check_change(change)
 
     async def check_change(self, change: Change) -> None:
-        """Send a bare key and a ticket before and after a change."""
+        """Send a key, and one with a ticket, before and after a change."""
         async with running_rig(entries=2, hosts=3) as rig:
             urls = rig.urls()
             ticket = await self.take_ticket(urls[0], 'k2')
@@ -137,9 +137,11 @@
             await change(rig, self.ran_at(rig, 'k1'))
             await change(rig, self.ran_at(rig, 'k2'))
             for url in urls:
-                bare = await self.post(url, key='k1')
-                outcome = await self.post(url, key='k2', ticket=ticket)
-                self.assertEqual((bare[0], outcome[0]), ('unknown', 'unknown'))
+                by_key = await self.post(url, key='k1')
+                by_ticket = await self.post(url, key='k2', ticket=ticket)
+                self.assertEqual(
+                    (by_key[0], by_ticket[0]), ('unknown', 'unknown')
+                )
             self.assertEqual(self.runs(rig, 'k1'), 1)
             self.assertEqual(self.runs(rig, 'k2'), 1)
 
@@ -154,7 +156,7 @@
             self.assertEqual(outcomes, {'answered'})
 
     async def test_host_that_joins(self) -> None:
-        """A host that joins does not know former primary hosts, and waits."""
+        """A host that joins does not know former primary hosts, so it waits."""
         async with running_rig(entries=1, hosts=3) as rig:
             url = rig.urls()[0]
             joining = rig.hosts['matcher-3']
@@ -167,12 +169,12 @@
             joining.state = 'active'
             rig.publish()
             self.assertEqual(await self.send_keys(url, 'k'), {'unknown'})
-            self.assertEqual(self.most_runs(rig), 1)
+            self.assertEqual(self.max_runs(rig), 1)
             rig.skew += SETTLE_SECONDS + 1
             self.assertEqual(await self.send_keys(url, 'new'), {'answered'})
             self.assertTrue(joining.upstream.runs)
 
-    async def test_unseen_pools(self) -> None:
+    async def test_missed_generation(self) -> None:
         """A host that missed a generation lacks some former primary hosts."""
         async with running_rig(entries=1, hosts=3) as rig:
             url = rig.urls()[0]
@@ -187,7 +189,7 @@
             third.state = 'draining'
             rig.publish()
             self.assertEqual(await self.send_keys(url, 'k'), {'unknown'})
-            self.assertEqual(self.most_runs(rig), 1)
+            self.assertEqual(self.max_runs(rig), 1)
 
     async def send_keys(self, url: str, label: str) -> set[str]:
         """Send twenty keys and return the outcomes."""
@@ -196,7 +198,7 @@
             for number in range(20)
         }
 
-    def most_runs(self, rig: RequestRig) -> int:
+    def max_runs(self, rig: RequestRig) -> int:
         """Return the highest number of runs of a key."""
         runs: Counter[str] = Counter()
         for host in rig.hosts.values():
@@ -204,7 +206,11 @@
         return max(runs.values())
 
     async def test_restarted_primary_waits(self) -> None:
-        """A restarted primary host runs no bare key for ``SETTLE_SECONDS``."""
+        """A restarted primary host does not yet run requests without a ticket.
+
+        An earlier incarnation may have run them in the last
+        ``SETTLE_SECONDS``.
+        """
         async with running_rig(entries=1, hosts=1) as rig:
             url = rig.urls()[0]
             await self.restart(rig, rig.hosts['matcher-1'])
@@ -280,7 +286,7 @@
         await rig.kill_sidecar(host.name)
         await rig.start_sidecar(host.name)
 
-    async def change_unevenly(self, rig: RequestRig, host: RigHost) -> None:
+    async def drain_for_some(self, rig: RequestRig, host: RigHost) -> None:
         """Publish a drain to all but one entry and the host itself."""
         host.state = 'draining'
         rig.generation += 1
@@ -303,7 +309,7 @@
             self.assertEqual(self.runs(rig, ''), 1)
 
     async def test_forwarded_after_refusal(self) -> None:
-        """A request that an upstream can't have run goes to the next host."""
+        """A request that did not reach the upstream goes to the next host."""
         async with running_rig(entries=1, hosts=2) as rig:
             await rig.hosts['matcher-1'].upstream.stop()
             for _ in range(6):
--- a/tests/sidecar/test_packets.py
+++ b/tests/sidecar/test_packets.py
@@ -63,7 +63,7 @@
             self.pool.add_entry(f'entry-{number}', number)
         self.site = self.plan.next_site()
         self.pool.publish(self.site)
-        # Long enough for the hosts to treat their new pool as stable.
+        # Longer than ``SKEW_SECONDS``, after which the pool counts as stable.
         self.pool.run(70)
 
     def add_sidecar(self, number: int) -> None:
@@ -97,9 +97,9 @@
         }
 
     def drops(self, reason: Drop) -> int:
-        """Return the number of drops for a reason over the whole pool."""
-        parts = [*self.pool.entries.values(), *self.pool.sidecars.values()]
-        return sum(part.process.metrics.value(reason) for part in parts)
+        """Return the number of drops for a reason in all processes."""
+        nodes = [*self.pool.entries.values(), *self.pool.sidecars.values()]
+        return sum(node.process.metrics.value(reason) for node in nodes)
 
     def restart(self, name: str) -> PoolSidecar:
         """Restart a sidecar while its upstream keeps running."""
@@ -119,8 +119,8 @@
 class TestOpening(PoolCase):
     """Each flow is admitted by exactly one host."""
 
-    def test_copies_through_uneven_entries(self) -> None:
-        """A copy of a first packet under another generation finds the owner."""
+    def test_copies_through_entries_of_two_generations(self) -> None:
+        """A copy from an entry with another generation is sent to the owner."""
         for udp in (False, True):
             for port in range(2000, 2080):
                 with self.subTest(udp=udp, port=port):
@@ -133,7 +133,7 @@
 
     def test_two_offers_at_once(self) -> None:
         """Two entries offer one flow to two hosts at the same time."""
-        self._grow_unevenly()
+        self._grow_for_some()
         for port in range(3000, 3060):
             raw = make_udp(_flow(port), bytes(20))
             self.send(raw, 0, 0)
@@ -142,7 +142,7 @@
                 self.assertEqual(len(self.owners(raw)), 1)
 
     def test_silent_host_only_delays(self) -> None:
-        """If the host to probe is dead, the third copy is admitted."""
+        """If the host to probe does not answer, the third copy is admitted."""
         self.pool.kill(f'{SERVICE}-0')
         self.plan.states[0] = 'draining'
         self.site = self.plan.next_site()
@@ -172,9 +172,9 @@
 
     def _grow_at(self, port: int, wanted: int) -> None:
         if port == wanted:
-            self._grow_unevenly()
+            self._grow_for_some()
 
-    def _grow_unevenly(self) -> None:
+    def _grow_for_some(self) -> None:
         """Add two hosts; entry 0 and some sidecars keep the old generation."""
         self.plan.states.update(
             {number: 'active' for number in range(HOSTS + 2)},
@@ -189,7 +189,7 @@
     """Flows whose owner is not their primary host."""
 
     def test_found_after_growth(self) -> None:
-        """TCP and UDP flows are found by pointers."""
+        """TCP and UDP packets reach the owner by pointers."""
         self._check_all(self._open_and_move())
 
     def test_found_though_pointers_were_lost(self) -> None:
@@ -261,7 +261,7 @@
         self._check_all(udp)
 
     def test_udp_of_draining_host_known_by_pointers_only(self) -> None:
-        """The flows stay there even if the entries have lost their routes too.
+        """UDP flows survive the restart even if entries have no cached routes.
 
         Found by ``lab flows --seed 104``.
         """
@@ -274,12 +274,14 @@
         self.restart(f'{SERVICE}-0')
         self.pool.run(0.1)
         self.forget_routes()
-        pointed = [raw for raw in udp if self._is_pointed(raw)]
-        self.assertTrue(pointed)
-        self._check_all(pointed)
+        known_by_pointers = [
+            raw for raw in udp if self._has_pointer_to_host_0(raw)
+        ]
+        self.assertTrue(known_by_pointers)
+        self._check_all(known_by_pointers)
 
-    def _is_pointed(self, raw: bytes) -> bool:
-        """Return whether a sidecar has a pointer to the first host."""
+    def _has_pointer_to_host_0(self, raw: bytes) -> bool:
+        """Return whether a sidecar has a pointer from the flow to host 0."""
         packet = parse_inner(raw)
         assert packet is not None
         pointers = [
@@ -321,7 +323,7 @@
 
 
 class TestInvalidInput(PoolCase):
-    """Invalid packets and messages are neither trusted nor delivered."""
+    """Invalid packets and messages are not delivered and break no flow."""
 
     def setUp(self) -> None:
         """Open one flow."""
@@ -375,27 +377,27 @@
         self.send(self.raw)
         self.assertEqual(self.delivered(self.raw), {self.owner: 2})
 
-    def test_unkeyed_and_noise(self) -> None:
+    def test_datagrams_without_valid_key(self) -> None:
         """Datagrams without a valid key are counted, whatever they contain."""
         before = self.drops(Drop.unkeyed)
-        for noise in (b'', b'\x01', bytes(200), self.raw):
-            self.pool.network.deliver(noise, self.sidecar.address)
+        for datagram in (b'', b'\x01', bytes(200), self.raw):
+            self.pool.network.deliver(datagram, self.sidecar.address)
         self.assertEqual(self.drops(Drop.unkeyed), before + 4)
 
-    def test_replayed_hint(self) -> None:
-        """A hint that names a wrong host costs hops but breaks no flow."""
+    def test_wrong_owner_message(self) -> None:
+        """A wrong ``Owner`` message adds hops but breaks no flow."""
         wrong = next(name for name in self.pool.sidecars if name != self.owner)
-        stranger = self.pool.sidecars[wrong]
+        other_sidecar = self.pool.sidecars[wrong]
         packet = parse_inner(self.raw)
         assert packet is not None
-        for incarnation in (0, 1, stranger.handler.incarnation):
-            hint = Owner(
+        for incarnation in (0, 1, other_sidecar.handler.incarnation):
+            owner_message = Owner(
                 packet.flow,
-                pack_address(stranger.address),
+                pack_address(other_sidecar.address),
                 incarnation,
                 1,
             )
-            self.pool.entries['entry-0'].ingress.learn(hint, SENDER)
+            self.pool.entries['entry-0'].ingress.learn(owner_message, SENDER)
             self.send(self.raw)
         self.assertEqual(self.delivered(self.raw), {self.owner: 4})
         self.assertEqual(self.owners(self.raw), [self.owner])
@@ -445,8 +447,8 @@
             datagram = make_udp(_flow(self.pool.rng.randrange(9999)), bytes(20))
             self.send(datagram)
         self.pool.kill(self.owner)
-        for part in (*self.pool.entries.values(), *self.pool.sidecars.values()):
-            part.view.update_membership(frozenset(), frozenset((self.owner,)))
+        for node in (*self.pool.entries.values(), *self.pool.sidecars.values()):
+            node.view.update_membership(frozenset(), frozenset((self.owner,)))
         self.send(self.raw)
         self.send(datagram)
         self.assertEqual(self.drops(Drop.owner_gone), 1)
