--- a/siskinbank/admission/arrivals.py
+++ b/siskinbank/admission/arrivals.py
@@ -73,7 +73,7 @@
         """Create the limit with no flows counted."""
         self._times: list[float] = []
 
-    def spare(self, now: float, per_s: float) -> int:
+    def flows_left(self, now: float, per_s: float) -> int:
         """Return how many more flows are within the limit.
 
         Args:
--- a/siskinbank/admission/balance.py
+++ b/siskinbank/admission/balance.py
@@ -112,7 +112,7 @@
         keys = {address: self._key(address) for address in addresses}
         return sorted(addresses, key=keys.__getitem__)
 
-    def among(self, addresses: Sequence[bytes]) -> list[bytes]:
+    def filter_accepting(self, addresses: Sequence[bytes]) -> list[bytes]:
         """Return the addresses of other hosts that accept new work."""
         return [address for address in addresses if address in self._addresses]
 
@@ -128,7 +128,7 @@
         drawn = rng.sample(left, min(count + _EXTRA_DRAWN_HOSTS, len(left)))
         return self.sort(drawn)[:count]
 
-    def expect(self, address: bytes) -> None:
+    def count_forwarded(self, address: bytes) -> None:
         """Count a first packet that was forwarded to a host."""
         host = self._addresses.get(address)
         known = self._loads.get(host.seed) if host else None
--- a/siskinbank/admission/reasons.py
+++ b/siskinbank/admission/reasons.py
@@ -6,13 +6,13 @@
     'BUSY',
     'COLD',
     'DRAINING',
+    'EVACUATED',
     'FULL',
     'HOST_REFUSED',
     'HOST_SPECIFIC',
     'NAMES',
     'NONE',
     'OTHER_SERVICE',
-    'OUT',
     'REFUSING',
     'SHORT_LIVED',
     'STOPPING',
@@ -26,7 +26,7 @@
 OTHER_SERVICE = 1
 DRAINING = 2
 # The operator took the data centre out.
-OUT = 3
+EVACUATED = 3
 STOPPING = 4
 UNREACHABLE = 5
 UNREGISTERED = 6
@@ -65,7 +65,7 @@
     (
         OTHER_SERVICE,
         DRAINING,
-        OUT,
+        EVACUATED,
         STOPPING,
         UNREACHABLE,
         UNREGISTERED,
--- a/siskinbank/choice/placement.py
+++ b/siskinbank/choice/placement.py
@@ -82,7 +82,7 @@
     hosts: list[TrackedHost],
     ordered: list[TrackedHost],
     tried: tuple[str, ...],
-    queued_at: str,
+    queueing_host: str,
 ) -> list[TrackedHost]:
     """Return the candidates for a copy of a first packet, the best first.
 
@@ -96,10 +96,12 @@
         queued_at: address of the host that has it queued, empty if none.
     """
     queueing = [
-        host for host in hosts if host.ip == queued_at and not host.status.state
+        host
+        for host in hosts
+        if host.ip == queueing_host and not host.status.state
     ]
     untried = [host for host in ordered if host.ip not in tried]
-    others = [host for host in untried or ordered if host.ip != queued_at]
+    others = [host for host in untried or ordered if host.ip != queueing_host]
     return queueing + others
 
 
--- a/siskinbank/directory/follower.py
+++ b/siskinbank/directory/follower.py
@@ -15,8 +15,8 @@
 from siskinbank.kernel.reasons import Ignored
 from siskinbank.peers.gossip import Gossip
 from siskinbank.peers.readers import (
-    READ_SECONDS,
-    READERS,
+    READ_INTERVAL_SECONDS,
+    READERS_PER_DATA_CENTRE,
     read_interval,
     reader_rank,
 )
@@ -90,9 +90,9 @@
             identity.name,
             gossip.statuses,
         )
-        reading = rank is not None and rank < READERS
+        reading = rank is not None and rank < READERS_PER_DATA_CENTRE
         if reading and not self._reading:
-            self._log.write(events.READING, rank=rank)
+            self._log.write(events.READING_PLATFORM, rank=rank)
         self._reading = reading
         self._bootstrapping = rank is None and not self._has_configuration()
         return read_interval(
@@ -156,7 +156,10 @@
                 transfer_seconds = (
                     self._client.list_transfer_bytes / _LIST_BYTES_PER_SECOND
                 )
-                min_interval = max(READERS * READ_SECONDS, transfer_seconds)
+                min_interval = max(
+                    READERS_PER_DATA_CENTRE * READ_INTERVAL_SECONDS,
+                    transfer_seconds,
+                )
                 await asyncio.sleep(min_interval * self._rng.uniform(0.8, 1.2))
             else:
                 await asyncio.sleep(backoff.next())
@@ -172,7 +175,7 @@
         if self._list_reader.held:
             self._metrics.count(Ignored.list_held)
             if not self._omissions_held:
-                self._log.write(events.LIST_HELD, listed=len(instances))
+                self._log.write(events.OMISSIONS_HELD, listed=len(instances))
         self._omissions_held = self._list_reader.held
         self._gossip.take_records(newer)
         return True
--- a/siskinbank/directory/store.py
+++ b/siskinbank/directory/store.py
@@ -176,7 +176,7 @@
         if key[0] and key != self._last_older:
             self._last_older = key
             self._log.write(
-                events.OLDER_IGNORED,
+                events.OLDER_CONFIGURATION_IGNORED,
                 offered=key[0],
                 in_force=self.in_force[0],
             )
@@ -188,7 +188,7 @@
         if key[0] not in self._logged_conflicts:
             self._logged_conflicts.add(key[0])
             self._log.write(
-                events.CONFLICT,
+                events.GENERATION_CONFLICT,
                 generation=key[0],
                 digests=f'{key[1].hex()},{self.in_force[1].hex()}',
             )
--- a/siskinbank/directory/view.py
+++ b/siskinbank/directory/view.py
@@ -94,7 +94,7 @@
         if self._site is not None and key <= self._key:
             if site.generation < self.generation:
                 self._log.write(
-                    events.OLDER_IGNORED,
+                    events.OLDER_CONFIGURATION_IGNORED,
                     offered=site.generation,
                     in_force=self.generation,
                 )
--- a/siskinbank/entry/exchanges.py
+++ b/siskinbank/entry/exchanges.py
@@ -12,10 +12,10 @@
 from siskinbank.wire.bodies import BodyTruncatedError, send_body
 from siskinbank.wire.headers import OUTCOME_HEADER, header_problem
 from siskinbank.wire.request_messages import (
-    AnswerHead,
     Failed,
     Refused,
     RequestHead,
+    ResponseHead,
 )
 
 __all__ = ('run_exchange',)
@@ -40,7 +40,7 @@
     finished = False
     try:
         reply = await _wait_for_reply(exchange, call, link)
-        if not isinstance(reply, AnswerHead):
+        if not isinstance(reply, ResponseHead):
             finished = isinstance(reply, NotRun)
             return reply
         finished = await _forward_answer(exchange, call, reply)
@@ -104,7 +104,7 @@
     exchange: Exchange,
     call: Call,
     link: RequestLink,
-) -> AnswerHead | NotRun | Unknown:
+) -> ResponseHead | NotRun | Unknown:
     async with asyncio.timeout(call.remaining):
         if call.idempotent:
             await _wait_while_alive(exchange, link)
@@ -113,7 +113,7 @@
         return _refusal(reply)
     if isinstance(reply, Failed):
         return _failure(reply)
-    if not isinstance(reply, AnswerHead) or _is_malformed(reply):
+    if not isinstance(reply, ResponseHead) or _is_malformed(reply):
         return Unknown(Doubt.malformed)
     return reply
 
@@ -135,7 +135,7 @@
             raise LinkLostError('the sidecar is silent')
 
 
-def _is_malformed(reply: AnswerHead) -> bool:
+def _is_malformed(reply: ResponseHead) -> bool:
     good_status = _MIN_STATUS <= reply.status <= _MAX_STATUS
     return not good_status or header_problem(reply.headers) is not None
 
@@ -159,7 +159,7 @@
 async def _forward_answer(
     exchange: Exchange,
     call: Call,
-    head: AnswerHead,
+    head: ResponseHead,
 ) -> bool:
     """Forward the answer to the caller; return whether it is complete.
 
@@ -189,7 +189,7 @@
 async def _forward_body(
     exchange: Exchange,
     response: web.StreamResponse,
-    head: AnswerHead,
+    head: ResponseHead,
 ) -> None:
     size = 0
     while part := await exchange.body.read():
--- a/siskinbank/entry/flow_cache.py
+++ b/siskinbank/entry/flow_cache.py
@@ -34,8 +34,8 @@
         '_holders',
         'confirmed',
         'ip',
-        'queued_at',
         'last_seen',
+        'queueing_host',
         'tried',
     )
 
@@ -43,7 +43,7 @@
         """Initialize with the host that the first packet is sent to."""
         self.ip = ip
         self.confirmed = False
-        self.queued_at = ''
+        self.queueing_host = ''
         self.last_seen = last_seen
         self.tried: tuple[str, ...] = (ip,)
         self._holders: dict[str, tuple[bool, int]] = {}
--- a/siskinbank/entry/flow_searches.py
+++ b/siskinbank/entry/flow_searches.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 __all__ = (
-    'REPEAT_INTERVAL_S',
     'FlowSearch',
     'FlowSearches',
+    'REPEAT_INTERVAL_S',
     'may_still_answer',
 )
 
@@ -145,7 +145,7 @@
         """Remove and return the search for a flow, or None."""
         return self._searches.pop(key, None)
 
-    def ongoing(self, now: float) -> list[tuple[bytes, FlowSearch]]:
+    def due_for_repeat(self, now: float) -> list[tuple[bytes, FlowSearch]]:
         """Return the searches that are old enough to ask hosts again."""
         latest_start = now - REPEAT_INTERVAL_S / 2
         return [
--- a/siskinbank/entry/links.py
+++ b/siskinbank/entry/links.py
@@ -14,7 +14,6 @@
 from siskinbank.wire.bodies import INITIAL_CREDIT_BYTES, BodyReader, SendWindow
 from siskinbank.wire.messages import Message, MessageError
 from siskinbank.wire.request_messages import (
-    AnswerHead,
     BodyPart,
     Cancel,
     Credit,
@@ -25,6 +24,7 @@
     OpenRequests,
     Ping,
     Refused,
+    ResponseHead,
     TicketIssued,
 )
 from siskinbank.wire.streams import MessageStream
@@ -36,7 +36,7 @@
 _IDLE_TIMEOUT_SECONDS = 60
 _OFFSET_WINDOW_SECONDS = 60
 
-Reply = AnswerHead | Refused | Failed | TicketIssued | KeyFenced
+Reply = ResponseHead | Refused | Failed | TicketIssued | KeyFenced
 
 
 class LinkLostError(Exception):
@@ -234,7 +234,7 @@
         if exchange is None:
             self._count(Drop.late)
             return
-        if isinstance(received, AnswerHead):
+        if isinstance(received, ResponseHead):
             self.update_clock_offset(received.clock)
         reason = exchange.handle(received)
         if reason is not None:
--- a/siskinbank/kernel/events.py
+++ b/siskinbank/kernel/events.py
@@ -73,7 +73,7 @@
     'configuration refused',
     'A published generation is invalid; the last valid one stays in force.',
 )
-OLDER_IGNORED = _define(
+OLDER_CONFIGURATION_IGNORED = _define(
     202,
     _WARNING,
     'older configuration ignored',
@@ -86,20 +86,20 @@
     'The configuration service does not answer; the configuration in force '
     'stays in use.',
 )
-CONFLICT = _define(
+GENERATION_CONFLICT = _define(
     203,
     'ERROR',
     'two documents with the same generation',
     'The platform published two documents with the same generation; every '
     'process uses the one with the higher digest. Publish a higher generation.',
 )
-READING = _define(
+READING_PLATFORM = _define(
     211,
     'INFO',
     'reading the platform',
     'By rank this process is a reader of the platform for its data centre.',
 )
-LIST_HELD = _define(
+OMISSIONS_HELD = _define(
     220,
     _WARNING,
     'live list omits many known instances',
@@ -162,7 +162,7 @@
     'upstream answers again',
     'It is treated as cold and receives work as it warms up.',
 )
-REPORT_IGNORED = _define(
+HEALTH_REPORT_IGNORED = _define(
     403,
     _WARNING,
     'upstream report ignored',
--- a/siskinbank/lab/cold.py
+++ b/siskinbank/lab/cold.py
@@ -8,13 +8,16 @@
 from dataclasses import dataclass
 from typing import Any
 
-from siskinbank.lab.bearing import LimitedUpstream, add_monitored_sidecar
 from siskinbank.lab.experiment import (
     Bound,
     ExperimentReport,
     at_least,
     at_most,
 )
+from siskinbank.lab.limited_upstream import (
+    LimitedUpstream,
+    add_monitored_sidecar,
+)
 from siskinbank.lab.naive_traffic import NaiveTraffic
 from siskinbank.lab.pool import Pool
 from siskinbank.lab.traffic import Arrival, SiteShape, Traffic, draw_arrivals
--- a/siskinbank/lab/data_centre.py
+++ b/siskinbank/lab/data_centre.py
@@ -6,17 +6,17 @@
 from typing import Any
 
 from siskinbank.config.site import Site
-from siskinbank.lab.bearing import (
-    CallerEndpoint,
-    LimitedUpstream,
-    add_monitored_sidecar,
-)
 from siskinbank.lab.experiment import (
     Bound,
     ExperimentReport,
     at_least,
     at_most,
 )
+from siskinbank.lab.limited_upstream import (
+    CallerEndpoint,
+    LimitedUpstream,
+    add_monitored_sidecar,
+)
 from siskinbank.lab.naive_traffic import NaiveTraffic
 from siskinbank.lab.pool import Pool
 from siskinbank.lab.traffic import Arrival, SiteShape, Traffic, draw_arrivals
--- a/siskinbank/lab/fairness.py
+++ b/siskinbank/lab/fairness.py
@@ -6,13 +6,13 @@
 from dataclasses import dataclass
 from typing import Any
 
-from siskinbank.lab.bearing import (
+from siskinbank.lab.experiment import Bound, ExperimentReport, at_most
+from siskinbank.lab.limited_upstream import (
     LimitedUpstream,
     add_monitored_sidecar,
     host_name,
 )
-from siskinbank.lab.experiment import Bound, ExperimentReport, at_most
-from siskinbank.lab.policies import POLICIES, NaivePool
+from siskinbank.lab.naive_policies import POLICIES, NaivePool
 from siskinbank.lab.pool import Pool
 from siskinbank.lab.traffic import (
     Arrival,
@@ -127,7 +127,7 @@
         upstream = LimitedUpstream(reports_zero=bool(number % 2))
         sidecar = add_monitored_sidecar(pool, number, upstream)
         if lag_seconds:
-            _delay_exchange(pool, sidecar.handler.exchange, lag_seconds)
+            _delay_exchange(pool, sidecar.handler.load_exchange, lag_seconds)
     shape = SiteShape(hosts)
     pool.publish(shape.site(1, weights=weights))
     byte_count = _count_exchange_bytes(pool)
@@ -152,13 +152,13 @@
     return draw_arrivals(random.Random(seed), flows, seconds)
 
 
-def _delay_exchange(pool: Pool, exchange: Any, lag_seconds: float) -> None:
-    receive_report = exchange.receive_report
+def _delay_exchange(pool: Pool, load_exchange: Any, lag_seconds: float) -> None:
+    receive_report = load_exchange.receive_report
 
     def receive_late(received: PoolLoad) -> None:
         pool.network.after(lag_seconds, lambda: receive_report(received))
 
-    exchange.receive_report = receive_late
+    load_exchange.receive_report = receive_late
 
 
 def _count_exchange_bytes(pool: Pool) -> list[int]:
--- a/siskinbank/lab/bearing.py
+++ b/siskinbank/lab/limited_upstream.py
@@ -126,7 +126,7 @@
             return
         FakeUpstream.receive(self, packet, now)
         flow = (packet.source, packet.source_port)
-        if packet.closing or packet.last:
+        if packet.closing or packet.is_reset:
             self.open_flows.pop(flow, None)
             return
         is_new = flow not in self.open_flows
--- a/siskinbank/lab/policies.py
+++ b/siskinbank/lab/naive_policies.py
@@ -86,7 +86,7 @@
             visible_loads = self._visible_report(reports, loads, arrival.at)
             host = self.policy(arrival.key, visible_loads, self.rng)
             loads[host] += 1
-            heapq.heappush(ends, (arrival.at + arrival.life, host))
+            heapq.heappush(ends, (arrival.at + arrival.duration_seconds, host))
         return sampled_loads
 
     def _visible_report(
--- a/siskinbank/lab/naive_traffic.py
+++ b/siskinbank/lab/naive_traffic.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable, Sequence
 
-from siskinbank.lab.bearing import CallerEndpoint, LimitedUpstream
+from siskinbank.lab.limited_upstream import CallerEndpoint, LimitedUpstream
 from siskinbank.lab.pool import Pool
 from siskinbank.lab.standins.packets import ACK, FIN, SYN, make_packet
 from siskinbank.lab.traffic import Arrival
@@ -55,7 +55,7 @@
         if not live_hosts:
             return
         chosen_host = live_hosts[arrival.key % len(live_hosts)]
-        is_finished = now >= arrival.at + arrival.life
+        is_finished = now >= arrival.at + arrival.duration_seconds
         flags = FIN | ACK if is_finished else ACK
         if last_host != chosen_host:
             if last_host is not None:
--- a/siskinbank/lab/request_rig.py
+++ b/siskinbank/lab/request_rig.py
@@ -102,7 +102,7 @@
 
     rng: random.Random
     slots: int = 3
-    skew: float = 0
+    clock_offset: float = 0
     port: int = 0
     number: int = 0
     generation: int = 0
@@ -111,7 +111,7 @@
 
     def clock(self) -> float:
         """Return the time of all processes in seconds."""
-        return asyncio.get_running_loop().time() + self.skew
+        return asyncio.get_running_loop().time() + self.clock_offset
 
     async def start(
         self,
--- a/siskinbank/lab/request_stops.py
+++ b/siskinbank/lab/request_stops.py
@@ -7,7 +7,7 @@
 import aiohttp
 
 from siskinbank.lab.faulty_link import LinkFaults
-from siskinbank.lab.naive_requests import NaiveRig
+from siskinbank.lab.naive_rig import NaiveRig
 from siskinbank.lab.request_log import (
     CONNECTION_LOST,
     CONNECTION_REFUSED,
@@ -56,7 +56,7 @@
 async def _run_siskinbank(rng: random.Random) -> RequestLog:
     rig = RequestRig(rng, _SLOTS)
     await rig.start(_ENTRIES, _HOSTS)
-    rig.skew += SETTLE_SECONDS + 1
+    rig.clock_offset += SETTLE_SECONDS + 1
     for host in rig.hosts.values():
         host.upstream.work_seconds = _WORK_SECONDS
     try:
--- a/siskinbank/lab/requests.py
+++ b/siskinbank/lab/requests.py
@@ -11,7 +11,7 @@
 from siskinbank.coordination.client import RequestClient, Work
 from siskinbank.lab.experiment import ExperimentReport, at_least, at_most
 from siskinbank.lab.faulty_link import LinkFaults
-from siskinbank.lab.naive_requests import NaiveRig
+from siskinbank.lab.naive_rig import NaiveRig
 from siskinbank.lab.request_faults import FaultInjector
 from siskinbank.lab.request_log import (
     CONNECTION_LOST,
@@ -22,7 +22,7 @@
 )
 from siskinbank.lab.request_rig import RequestRig
 from siskinbank.lab.request_stops import measure_stops
-from siskinbank.lab.request_storm import measure_retry_storm
+from siskinbank.lab.retry_storm import measure_retry_storm
 from siskinbank.lab.virtual_loop import run_virtual
 from siskinbank.sidecar.primary_hosts import SETTLE_SECONDS
 from siskinbank.wire.headers import KEY_HEADER, TICKET_HEADER
@@ -188,7 +188,7 @@
 async def _measure_siskinbank(rng: random.Random, keys: int) -> dict[str, Any]:
     rig = RequestRig(rng, _SLOTS)
     await rig.start(_ENTRIES, _HOSTS, _FRAME_FAULTS)
-    rig.skew += SETTLE_SECONDS + 1
+    rig.clock_offset += SETTLE_SECONDS + 1
     injector = FaultInjector(rig, rng)
     try:
         async with aiohttp.ClientSession() as session:
@@ -200,7 +200,7 @@
                 await load.run(keys // 2, f'round-{number}')
                 injection.cancel()
                 await injector.restore()
-                rig.skew += SETTLE_SECONDS + 1
+                rig.clock_offset += SETTLE_SECONDS + 1
         upstreams = [host.upstream for host in rig.hosts.values()]
         return {
             **load.log.summarise(upstreams),
--- a/siskinbank/lab/request_storm.py
+++ b/siskinbank/lab/retry_storm.py
@@ -7,7 +7,7 @@
 import aiohttp
 
 from siskinbank.lab.faulty_link import LinkFaults
-from siskinbank.lab.naive_requests import NaiveRig
+from siskinbank.lab.naive_rig import NaiveRig
 from siskinbank.lab.request_log import Attempt, send_attempt
 from siskinbank.lab.request_rig import RequestRig
 from siskinbank.lab.request_upstream import Behaviour, RequestUpstream
--- a/siskinbank/lab/rig/fleet.py
+++ b/siskinbank/lab/rig/fleet.py
@@ -13,9 +13,9 @@
 from siskinbank.lab.rig.host import HostStandIn
 from siskinbank.lab.rig.store import StoreStandIn
 from siskinbank.platform.encoding import (
-    HostEntry,
+    HostDocument,
     ProcessSettings,
-    RouteEntry,
+    RouteDocument,
     encode_configuration,
 )
 from siskinbank.platform.settings import SETTINGS_VARIABLE
@@ -127,7 +127,7 @@
         self._prefix = f'127.{random.randrange(1, 250)}.{random.randrange(250)}'
         self._port = random.randrange(20000, 28000)
         await self.store.open((self._ip(_STORE_NUMBER), _STORE_PORT))
-        await self.publish([RouteEntry(_SERVICE, TARGET)])
+        await self.publish([RouteDocument(_SERVICE, TARGET)])
         for index in range(self.host_count):
             await self._add_host(index)
         for index in range(self.entry_count):
@@ -151,7 +151,7 @@
 
     async def publish(
         self,
-        routes: list[RouteEntry],
+        routes: list[RouteDocument],
         cold_per_s: float = 0,
     ) -> int:
         """Write a new configuration and return its version."""
@@ -163,7 +163,7 @@
     async def register(self, index: int, **changes: object) -> None:
         """Write a host's entry in the store, with some fields changed."""
         host = self.hosts[index]
-        entry = HostEntry(
+        entry = HostDocument(
             _SERVICE,
             host.address,
             self.data_centre(index),
--- a/siskinbank/lab/rig/store.py
+++ b/siskinbank/lab/rig/store.py
@@ -3,7 +3,12 @@
 import asyncio
 from collections.abc import Callable
 
-from siskinbank.platform.encoding import Call, Item, encode_page, read_call
+from siskinbank.platform.encoding import (
+    Item,
+    StoreCall,
+    encode_page,
+    read_store_call,
+)
 
 __all__ = ('StoreStandIn',)
 
@@ -99,19 +104,19 @@
             return
         status, body = _BUSY, b'{}'
         if not self.busy(ip):
-            status, body = await self._result(read_call(path))
+            status, body = await self._result(read_store_call(path))
         head = f'HTTP/1.1 {status} -\r\nContent-Length: {len(body)}\r\n\r\n'
         writer.write(head.encode() + body)
         await writer.drain()
 
-    async def _result(self, call: Call) -> tuple[int, bytes]:
+    async def _result(self, call: StoreCall) -> tuple[int, bytes]:
         if call.kind == 'list':
             return _OK, self._page(call)
         if call.kind == 'watch':
             return await self._watch(call)
         return _MISSING, b'{}'
 
-    def _page(self, call: Call) -> bytes:
+    def _page(self, call: StoreCall) -> bytes:
         keys = sorted(
             key
             for key in self._items
@@ -121,7 +126,7 @@
         more = len(keys) > _PAGE_SIZE
         return encode_page(items, self._revision, more=more)
 
-    async def _watch(self, call: Call) -> tuple[int, bytes]:
+    async def _watch(self, call: StoreCall) -> tuple[int, bytes]:
         after = int(call.after)
         if after < self._oldest_revision:
             return _GONE, b'{}'
@@ -136,7 +141,7 @@
         found = self._changes_since(call, after)
         return _OK, encode_page(found, self._revision, watch=True)
 
-    def _changes_since(self, call: Call, after: int) -> list[Item]:
+    def _changes_since(self, call: StoreCall, after: int) -> list[Item]:
         return [
             item
             for item in self._history
--- a/siskinbank/lab/traffic.py
+++ b/siskinbank/lab/traffic.py
@@ -9,7 +9,7 @@
 from siskinbank.config.models import DocumentModel
 from siskinbank.config.sections import Manifest, make_site
 from siskinbank.config.site import Address, Site
-from siskinbank.lab.bearing import (
+from siskinbank.lab.limited_upstream import (
     CallerEndpoint,
     has_flow,
     host_address,
@@ -20,8 +20,8 @@
 from siskinbank.wire.packets import parse_inner
 
 __all__ = (
-    'CALLER',
     'Arrival',
+    'CALLER',
     'SiteShape',
     'Traffic',
     'draw_arrivals',
@@ -56,7 +56,7 @@
     """
 
     at: float
-    life: float
+    duration_seconds: float
     number: int
 
     @property
@@ -207,7 +207,7 @@
 
     def _reconnect(self, arrival: Arrival, now: float) -> None:
         """Open a new flow for the remaining time of a lost one."""
-        remaining_seconds = arrival.at + arrival.life - now
+        remaining_seconds = arrival.at + arrival.duration_seconds - now
         if remaining_seconds > 0:
             new_arrival = Arrival(
                 now, remaining_seconds, arrival.number + _RECONNECT_OFFSET
@@ -215,7 +215,7 @@
             self._schedule(now, new_arrival, SYN, 0)
 
     def _schedule_next(self, arrival: Arrival, now: float) -> None:
-        end = arrival.at + arrival.life
+        end = arrival.at + arrival.duration_seconds
         if (
             self._send_interval_seconds is None
             or now + self._send_interval_seconds >= end
--- a/siskinbank/lab/virtual_fleet.py
+++ b/siskinbank/lab/virtual_fleet.py
@@ -18,8 +18,8 @@
 from siskinbank.lab.virtual_node import VirtualNode
 from siskinbank.peers.gossip import Identity
 from siskinbank.peers.readers import (
-    READ_SECONDS,
-    READERS,
+    READ_INTERVAL_SECONDS,
+    READERS_PER_DATA_CENTRE,
     read_interval,
     reader_rank,
 )
@@ -151,7 +151,7 @@
         if interval is None:
             self._next_read = 0
             return
-        if rank is not None and rank < READERS:
+        if rank is not None and rank < READERS_PER_DATA_CENTRE:
             self._read_list(LIST_READ_SECONDS)
             self._watch()
         elif not self._next_read:
@@ -225,7 +225,7 @@
         gossip.take_records(records)
 
 
-LIST_READ_SECONDS = READ_SECONDS * READERS
+LIST_READ_SECONDS = READ_INTERVAL_SECONDS * READERS_PER_DATA_CENTRE
 
 
 class VirtualFleet:
--- a/siskinbank/peers/readers.py
+++ b/siskinbank/peers/readers.py
@@ -9,20 +9,20 @@
 
 __all__ = (
     'FALLBACK_CALLS_PER_SECOND',
-    'READERS',
+    'READERS_PER_DATA_CENTRE',
     'read_interval',
     'reader_rank',
 )
 
 #: Number of processes of each data centre that read the platform.
-READERS = 3
-READ_SECONDS = 1
+READERS_PER_DATA_CENTRE = 3
+READ_INTERVAL_SECONDS = 1
 #: The next ranks take over when no reader has reached the platform for this
 #: long.
 FALLBACK_SECONDS = 4
 _RANK_DELAY_SECONDS = 0.5
 _MAX_DELAY_STEPS = 20
-_MAX_RANK = READERS + _MAX_DELAY_STEPS
+_MAX_RANK = READERS_PER_DATA_CENTRE + _MAX_DELAY_STEPS
 #: Limit on the calls per second of all fallback processes together.
 FALLBACK_CALLS_PER_SECOND = 100
 _CALLS_PER_READ = 2
@@ -84,13 +84,14 @@
         failed to reach the platform for some time, an interval that grows
         with the fleet, so that all of them together stay below a fixed rate.
     """
-    if rank is not None and rank < READERS:
-        return READ_SECONDS
+    if rank is not None and rank < READERS_PER_DATA_CENTRE:
+        return READ_INTERVAL_SECONDS
     if rank is not None:
-        steps = min(rank - READERS, _MAX_DELAY_STEPS)
+        steps = min(rank - READERS_PER_DATA_CENTRE, _MAX_DELAY_STEPS)
         if read_age <= FALLBACK_SECONDS + steps * _RANK_DELAY_SECONDS:
             return None
     interval = max(
-        fleet_size * _CALLS_PER_READ / FALLBACK_CALLS_PER_SECOND, READ_SECONDS
+        fleet_size * _CALLS_PER_READ / FALLBACK_CALLS_PER_SECOND,
+        READ_INTERVAL_SECONDS,
     )
     return interval * rng.uniform(0.5, 1.5)
--- a/siskinbank/platform/encoding.py
+++ b/siskinbank/platform/encoding.py
@@ -13,19 +13,19 @@
 from urllib.parse import parse_qs, urlsplit
 from zlib import crc32
 
-from siskinbank.platform.packets import BOUNCED, HEAD_BYTES
+from siskinbank.platform.packets import BOUNCED, HEADER_BYTES
 
 __all__ = (
-    'Call',
-    'HostEntry',
+    'HostDocument',
     'Item',
     'Packet',
     'ProcessSettings',
-    'RouteEntry',
+    'RouteDocument',
+    'StoreCall',
     'answer_bytes',
     'encode_configuration',
     'encode_page',
-    'read_call',
+    'read_store_call',
     'request_bytes',
 )
 
@@ -56,7 +56,7 @@
             fields[3],
             fields[1],
             fields[2],
-            raw[HEAD_BYTES:],
+            raw[HEADER_BYTES:],
             fields[8],
             fields[0],
         )
@@ -93,7 +93,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HostEntry:
+class HostDocument:
     """A host's record in the store."""
 
     service: str
@@ -123,18 +123,18 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RouteEntry:
+class RouteDocument:
     """A route in the operator's configuration."""
 
     service: str
     address: tuple[str, int]
-    limit_s: float = 2
+    timeout_s: float = 2
     idempotent: bool = True
 
 
 def encode_configuration(
     version: int,
-    routes: list[RouteEntry],
+    routes: list[RouteDocument],
     cold_per_s: float = 0,
 ) -> bytes:
     """Return the operator's configuration as JSON."""
@@ -212,7 +212,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Call:
+class StoreCall:
     """A decoded call to the store; ``kind`` is list, watch or read."""
 
     kind: str
@@ -222,7 +222,7 @@
     stale: bool
 
 
-def read_call(path: str) -> Call:
+def read_store_call(path: str) -> StoreCall:
     """Decode the request path of a call to the store."""
     parts = urlsplit(path)
     query = {name: values[0] for name, values in parse_qs(parts.query).items()}
@@ -231,7 +231,7 @@
         '/api/kv-watch': 'watch',
         '/api/kv-key': 'read',
     }
-    return Call(
+    return StoreCall(
         kinds.get(parts.path, ''),
         query.get('Prefix', query.get('Key', '')),
         query.get('after', ''),
@@ -271,14 +271,14 @@
     )
 
 
-def _route(route: RouteEntry) -> dict[str, object]:
+def _route(route: RouteDocument) -> dict[str, object]:
     ip, port = route.address
     return {
         'Name': f'r-{port}',
         'Host': ip,
         'Prefix': f'/{port}/',
         'Kind': 'safe' if route.idempotent else 'unsafe',
-        'TimeoutMs': int(route.limit_s * _MS),
+        'TimeoutMs': int(route.timeout_s * _MS),
         'Service': route.service,
     }
 
--- a/siskinbank/platform/packets.py
+++ b/siskinbank/platform/packets.py
@@ -11,7 +11,7 @@
     'BOUNCED',
     'FIN',
     'FLOW_KEY',
-    'HEAD_BYTES',
+    'HEADER_BYTES',
     'MAX_PACKET_BYTES',
     'RST',
     'SYN',
@@ -29,9 +29,9 @@
     'sequence_numbers',
 )
 
-HEAD_BYTES = 31
+HEADER_BYTES = 31
 # A datagram holds the header and at most 1,200 bytes of data.
-MAX_PACKET_BYTES = HEAD_BYTES + 1200
+MAX_PACKET_BYTES = HEADER_BYTES + 1200
 
 SYN = 0x04
 ACK = 0x80
@@ -56,11 +56,11 @@
 _PORTS = Struct('!HH')
 _PORTS_OFFSET_IN_KEY = 8
 
-_METHOD_END = HEAD_BYTES + 4
+_METHOD_END = HEADER_BYTES + 4
 _METHODS = frozenset((b'GET ', b'POST', b'PUT ', b'HEAD', b'DELE', b'PATC'))
 _HTTP = b'HTTP'
 # The status code follows `HTTP/1.1 `.
-_STATUS = slice(HEAD_BYTES + 9, HEAD_BYTES + 12)
+_STATUS = slice(HEADER_BYTES + 9, HEADER_BYTES + 12)
 _LINE_END = b'\r\n'
 _REQUEST_ID = b'\r\nSiskinbank-Attempt-Id: '
 # The host did not run the request, whatever the status is.
@@ -75,10 +75,10 @@
     Args:
         packet: one datagram as received.
     """
-    if len(packet) < HEAD_BYTES:
+    if len(packet) < HEADER_BYTES:
         return 'short'
     length = packet[_LENGTH_OFFSET] << 8 | packet[_LENGTH_OFFSET + 1]
-    if length != len(packet) - HEAD_BYTES:
+    if length != len(packet) - HEADER_BYTES:
         return 'length'
     flags = packet[_FLAGS_OFFSET]
     if flags & ~_KNOWN_FLAGS:
@@ -132,7 +132,7 @@
 
 def begins_request(packet: bytes) -> bool:
     """Return whether a client's packet starts an HTTP request."""
-    return packet[HEAD_BYTES:_METHOD_END] in _METHODS
+    return packet[HEADER_BYTES:_METHOD_END] in _METHODS
 
 
 def request_id(packet: bytes) -> str:
@@ -162,7 +162,7 @@
 
 def read_answer(packet: bytes) -> Answer | None:
     """Return the response that a host's packet starts, or None."""
-    if packet[HEAD_BYTES:_METHOD_END] != _HTTP:
+    if packet[HEADER_BYTES:_METHOD_END] != _HTTP:
         return None
     status = packet[_STATUS].decode('latin-1').strip()
     return Answer(status or '-', _NOT_EXECUTED not in packet)
--- a/siskinbank/platform/records.py
+++ b/siskinbank/platform/records.py
@@ -90,20 +90,20 @@
             client.
     """
 
-    __slots__ = ('idempotent', 'limit_s', 'shares', 'target_latency_s')
+    __slots__ = ('idempotent', 'timeout_s', 'shares', 'target_latency_s')
 
     def __init__(
         self,
         shares: tuple[tuple[str, float], ...],
         idempotent: bool,
         target_latency_s: float,
-        limit_s: float,
+        timeout_s: float,
     ) -> None:
         """Create a route."""
         self.shares = shares
         self.idempotent = idempotent
         self.target_latency_s = target_latency_s
-        self.limit_s = limit_s
+        self.timeout_s = timeout_s
 
     def service_for(self, flow_hash: int) -> str:
         """Return the service of a new flow; ``shares`` must not be empty.
--- a/siskinbank/relay/entry.py
+++ b/siskinbank/relay/entry.py
@@ -15,7 +15,7 @@
 from siskinbank.entry.flow_cache import CachedFlow, FlowCache
 from siskinbank.platform.packets import (
     FLOW_KEY,
-    HEAD_BYTES,
+    HEADER_BYTES,
     MAX_PACKET_BYTES,
     RST,
     SYN,
@@ -181,8 +181,8 @@
             now,
         )
         tried = flow.tried if flow else ()
-        queued_at = flow.queued_at if flow else ''
-        chosen = candidates(hosts, ordered, tried, queued_at)
+        queueing_host = flow.queueing_host if flow else ''
+        chosen = candidates(hosts, ordered, tried, queueing_host)
         if not chosen:
             self._refuse_unplaced(packet, hosts)
             return
@@ -207,7 +207,7 @@
         opening.service = messages.digest(service)
         opening.version = self._follower.configuration.version
         opening.target_latency_ms = messages.wait_ms(route.target_latency_s)
-        opening.wait_limit_ms = messages.wait_ms(max_wait_s(route.limit_s))
+        opening.wait_limit_ms = messages.wait_ms(max_wait_s(route.timeout_s))
         opening.candidates = [host.packed for host in chosen]
         self._node.send(opening.pop_next(), opening.pack())
 
@@ -302,7 +302,7 @@
         key, _, _ = messages.read_flow_note(raw)
         flow = self._flows.get(key)
         if flow and not flow.confirmed:
-            flow.queued_at = ip
+            flow.queueing_host = ip
 
     def _handle_absent(self, raw: bytes, ip: str) -> None:
         key, _, _ = messages.read_flow_note(raw)
@@ -310,7 +310,7 @@
         if self._searcher.add_absent(key, ip):
             return
         flow = self._flows.get(key)
-        if flow and flow.ip == ip and len(packet) >= HEAD_BYTES:
+        if flow and flow.ip == ip and len(packet) >= HEADER_BYTES:
             self._flows.drop(key)
             self._search_host(key, packet)
 
@@ -318,9 +318,9 @@
         key, _, reason = messages.read_flow_note(raw)
         packet = raw[messages.FLOW_NOTE_BYTES :]
         flow = self._flows.get(key)
-        if flow is None or flow.confirmed or len(packet) < HEAD_BYTES:
+        if flow is None or flow.confirmed or len(packet) < HEADER_BYTES:
             return
-        flow.queued_at = ''
+        flow.queueing_host = ''
         tries = len(flow.tried)
         name = reasons.name_of(reason)
         self._node.log(
--- a/siskinbank/relay/flow_admission.py
+++ b/siskinbank/relay/flow_admission.py
@@ -13,12 +13,12 @@
 )
 from siskinbank.platform.packets import (
     FLOW_KEY,
-    HEAD_BYTES,
+    HEADER_BYTES,
     describe_flow,
     sequence_numbers,
 )
 from siskinbank.relay import messages
-from siskinbank.sidecar.tracked_flows import PendingPacket
+from siskinbank.sidecar.tracked_flows import UnansweredPacket
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
@@ -66,7 +66,7 @@
         host: OwnHost,
         reporter: StatusReporter,
         flows: dict[bytes, TrackedFlow],
-        unanswered: dict[bytes, PendingPacket],
+        unanswered: dict[bytes, UnansweredPacket],
         deliver: Callable[[bytes], None],
     ) -> None:
         """Initialize flow admission and register the message handler.
@@ -90,7 +90,7 @@
         node.handlers[messages.OPEN] = self._handle_open
 
     def note_host_refusal(
-        self, key: bytes, unanswered: PendingPacket | None
+        self, key: bytes, unanswered: UnansweredPacket | None
     ) -> None:
         """Handle a first packet that the host has refused."""
         self._host.expected_requests.end(key)
@@ -245,7 +245,7 @@
         opening = queued.opening
         host = self._host
         host.note_admitted(key, now)
-        unanswered = PendingPacket(
+        unanswered = UnansweredPacket(
             inet_ntoa(opening.entry), now, opening.packet
         )
         unanswered.opening = opening
@@ -298,6 +298,6 @@
     Raises:
         DatagramError: If the packet is too short.
     """
-    if len(packet) < HEAD_BYTES:
+    if len(packet) < HEADER_BYTES:
         raise messages.DatagramError('packet is shorter than its header')
     return packet
--- a/siskinbank/relay/flow_searcher.py
+++ b/siskinbank/relay/flow_searcher.py
@@ -253,7 +253,7 @@
     def _continue_searches(self) -> None:
         now = self._node.loop.now
         hosts_by_route: dict[Route | None, list[TrackedHost]] = {None: []}
-        for key, search in self._searches.ongoing(now):
+        for key, search in self._searches.due_for_repeat(now):
             route = self._route(key)
             if route not in hosts_by_route:
                 hosts_by_route[route] = self._hosts_of(route) if route else []
--- a/siskinbank/relay/request_tracker.py
+++ b/siskinbank/relay/request_tracker.py
@@ -87,7 +87,7 @@
         flow.request = None
         host = self._host
         host.busy -= 1
-        duration = self._node.loop.now - request.began
+        duration = self._node.loop.now - request.started_at
         if not request.waited and outcome.isdigit():
             host.processing_time.note(duration)
         self._node.meters.count('requests_ended_total')
--- a/siskinbank/relay/sidecar.py
+++ b/siskinbank/relay/sidecar.py
@@ -9,7 +9,7 @@
     BOUNCED,
     FIN,
     FLOW_KEY,
-    HEAD_BYTES,
+    HEADER_BYTES,
     MAX_PACKET_BYTES,
     RST,
     SYN,
@@ -31,7 +31,7 @@
 from siskinbank.relay.records import record_for
 from siskinbank.relay.request_tracker import RequestTracker
 from siskinbank.relay.status_reporter import StatusReporter
-from siskinbank.sidecar.tracked_flows import PendingPacket, TrackedFlow
+from siskinbank.sidecar.tracked_flows import TrackedFlow, UnansweredPacket
 from siskinbank.tracking.own_host import OwnHost
 from siskinbank.tracking.store_reads import sidecar_should_read
 
@@ -80,7 +80,7 @@
                 'settings lack the host address or the outbound address'
             )
         self._flows: dict[bytes, TrackedFlow] = {}
-        self._unanswered: dict[bytes, PendingPacket] = {}
+        self._unanswered: dict[bytes, UnansweredPacket] = {}
         self._stop_at: float = 0
         self._started = node.loop.now
         service = messages.digest(settings.service or '')
@@ -132,7 +132,7 @@
         )
 
     def _check_packet(self, packet: bytes, address: tuple[str, int]) -> None:
-        if len(packet) < HEAD_BYTES:
+        if len(packet) < HEADER_BYTES:
             self._node.meters.count('packets_refused_short_total')
         elif flags_of(packet) & BOUNCED:
             self._handle_bounced(clear_bounced(packet))
@@ -156,8 +156,8 @@
         else:
             flow.established = True
             self._tracker.track_answer(key, flow, packet)
-            if flags & (FIN | RST) and not flow.ended:
-                flow.ended = self._node.loop.now
+            if flags & (FIN | RST) and not flow.ended_at:
+                flow.ended_at = self._node.loop.now
         if unanswered or flags & SYN:
             self._send_held(key, flow)
         try:
@@ -166,7 +166,7 @@
             self._node.meters.count('send_errors_total')
 
     def _add_flow(
-        self, key: bytes, unanswered: PendingPacket | None
+        self, key: bytes, unanswered: UnansweredPacket | None
     ) -> TrackedFlow:
         """Add a flow when its host sends the first packet."""
         client = (client_address(key), self._node.settings.packet_port)
@@ -192,7 +192,7 @@
                 self._send_not_held(key, unanswered)
             return
         self._tracker.end(key, flow, 'lost')
-        if flow.ended:
+        if flow.ended_at:
             return
         if flow.established:
             # The host answered the flow before and has lost its state.
@@ -210,7 +210,7 @@
             )
             self._node.send(flow.entry, note)
 
-    def _send_not_held(self, key: bytes, unanswered: PendingPacket) -> None:
+    def _send_not_held(self, key: bytes, unanswered: UnansweredPacket) -> None:
         """Answer a query for a flow that the host doesn't hold."""
         if unanswered.relayed:
             note = messages.pack_keys(messages.NOT_HELD, [key])
@@ -262,7 +262,7 @@
         key = packet[FLOW_KEY]
         flow = self._flows.get(key)
         if flow is None:
-            unanswered = PendingPacket(entry, self._node.loop.now, packet)
+            unanswered = UnansweredPacket(entry, self._node.loop.now, packet)
             unanswered.searching = searching
             unanswered.relayed = relayed
             self._unanswered[key] = unanswered
@@ -301,9 +301,9 @@
         self._flows.clear()
         for key, flow in flows:
             self._tracker.end(key, flow, 'host-gone')
-            if flow.established and flow.head and not flow.ended:
+            if flow.established and flow.header and not flow.ended_at:
                 self._node.reset_flow(
-                    self._client_socket, flow.head, 'host-gone'
+                    self._client_socket, flow.header, 'host-gone'
                 )
         self._reporter.send_status()
 
@@ -391,16 +391,16 @@
                 self._flows.pop(key)
         cutoff = now - _UNANSWERED_TTL_S
         for key, unanswered in list(self._unanswered.items()):
-            if unanswered.seen < cutoff:
+            if unanswered.sent_at < cutoff:
                 self._unanswered.pop(key)
 
 
 def _timeout_outcome(flow: TrackedFlow, now: float) -> str:
     """Return the outcome of a flow that has timed out, empty if it hasn't."""
-    expired = flow.ended and now - flow.ended > _ENDED_FLOW_TTL_S
-    if expired or now - flow.seen > _IDLE_TIMEOUT_S:
+    expired = flow.ended_at and now - flow.ended_at > _ENDED_FLOW_TTL_S
+    if expired or now - flow.last_seen > _IDLE_TIMEOUT_S:
         return _IDLE
     # The client has abandoned the request. The slot may still be in use, but
     # the host must not count as busy without limit.
-    overdue = flow.request and now - flow.request.began > _OVERDUE_AFTER_S
+    overdue = flow.request and now - flow.request.started_at > _OVERDUE_AFTER_S
     return 'overdue' if overdue else ''
--- a/siskinbank/sidecar/context.py
+++ b/siskinbank/sidecar/context.py
@@ -25,7 +25,7 @@
     Verdict.cold: events.UPSTREAM_COLD,
     Verdict.unreachable: events.UPSTREAM_UNREACHABLE,
     Verdict.back: events.UPSTREAM_RECOVERED,
-    Verdict.distrusted: events.REPORT_IGNORED,
+    Verdict.distrusted: events.HEALTH_REPORT_IGNORED,
 }
 
 
--- a/siskinbank/sidecar/deflection.py
+++ b/siskinbank/sidecar/deflection.py
@@ -68,14 +68,14 @@
         rng: source of randomness for the selection of hosts.
     """
     position = envelope.position + 1
-    others = loads.among(envelope.candidates[position:])
+    others = loads.filter_accepting(envelope.candidates[position:])
     if envelope.flags & WHOLE_POOL and (
         others or envelope.hops >= _LAST_CHOICE_HOP
     ):
         return
     if others and not envelope.position:
         second = loads.sort(others)[0]
-        loads.expect(second)
+        loads.count_forwarded(second)
         envelope.candidates = (envelope.candidates[0], second)
         return
     envelope.flags |= WHOLE_POOL
@@ -90,7 +90,7 @@
 ) -> tuple[bytes, ...]:
     addresses = loads.with_room(rng, _FALLBACK_HOSTS)
     for address in addresses[:_FAIR_FALLBACK_HOSTS]:
-        loads.expect(address)
+        loads.count_forwarded(address)
     if own_address is not None:
         addresses = [*addresses[: _FALLBACK_HOSTS - 1], own_address]
     return tuple(addresses)
--- a/siskinbank/sidecar/load_exchange.py
+++ b/siskinbank/sidecar/load_exchange.py
@@ -107,7 +107,7 @@
     return zip(
         received.hosts,
         received.loads,
-        received.rooms,
+        received.free_connections,
         received.ages,
         strict=True,
     )
@@ -120,7 +120,12 @@
 
 
 def _is_valid(received: PoolLoad) -> bool:
-    columns = (received.hosts, received.loads, received.rooms, received.ages)
+    columns = (
+        received.hosts,
+        received.loads,
+        received.free_connections,
+        received.ages,
+    )
     if any(len(column) != len(received.hosts) for column in columns):
         return False
     return len(received.hosts) <= _MAX_RECORDS and all(
--- a/siskinbank/sidecar/packets.py
+++ b/siskinbank/sidecar/packets.py
@@ -86,7 +86,7 @@
         self._forwarder = Forwarder(context, self.incarnation)
         self._own_address = self._forwarder.own_address
         self._rng = random.Random(self._name)
-        self.exchange = LoadExchange(context, self._rng)
+        self.load_exchange = LoadExchange(context, self._rng)
         self._probes = OwnerProbes()
         self._history = PoolHistory(self._clock)
         self._announcer = Announcer(
@@ -146,7 +146,7 @@
     def receive_message(self, received: Message, _sender: Address) -> None:
         """Handle announcements of loads, of flows elsewhere and of restarts."""
         if isinstance(received, PoolLoad):
-            self.exchange.receive_report(received)
+            self.load_exchange.receive_report(received)
         elif isinstance(received, Moved | Restarted):
             self._receive_ownership(received)
 
@@ -295,7 +295,9 @@
         host = self._context.host
         if admission is None or host is None or not self._context.accepts_work:
             return False
-        if not try_admit(envelope, admission, self.exchange.loads, host.weight):
+        if not try_admit(
+            envelope, admission, self.load_exchange.loads, host.weight
+        ):
             return False
         self.flows.add(packet.flow, self._timers.now)
         self._probes.end(packet.flow)
@@ -414,7 +416,7 @@
         choose_candidates(
             envelope,
             self._own_address if has_room else None,
-            self.exchange.loads,
+            self.load_exchange.loads,
             self._rng,
         )
 
@@ -489,7 +491,7 @@
     """Mark the flow as open or closing by the packet's TCP flags."""
     if packet.first:
         owned.reopen()
-    elif packet.closing or packet.last:
+    elif packet.closing or packet.is_reset:
         owned.close()
 
 
--- a/siskinbank/sidecar/requests.py
+++ b/siskinbank/sidecar/requests.py
@@ -30,7 +30,6 @@
 )
 from siskinbank.wire.messages import Message, MessageError
 from siskinbank.wire.request_messages import (
-    AnswerHead,
     BodyPart,
     Cancel,
     Credit,
@@ -43,6 +42,7 @@
     Ping,
     Refused,
     RequestHead,
+    ResponseHead,
     TicketIssued,
 )
 from siskinbank.wire.streams import MessageStream
@@ -378,7 +378,7 @@
         number = request.head.number
         stream = request.link.stream
         await stream.send(
-            AnswerHead(
+            ResponseHead(
                 number,
                 answer.status,
                 _content_length(answer),
--- a/siskinbank/sidecar/tracked_flows.py
+++ b/siskinbank/sidecar/tracked_flows.py
@@ -7,7 +7,7 @@
 from __future__ import annotations
 
 from siskinbank.platform.packets import (
-    HEAD_BYTES,
+    HEADER_BYTES,
     Answer,
     begins_request,
     read_answer,
@@ -19,7 +19,7 @@
 if TYPE_CHECKING:
     from siskinbank.relay.messages import Opening
 
-__all__ = ('PendingPacket', 'Request', 'TrackedFlow')
+__all__ = ('UnansweredPacket', 'Request', 'TrackedFlow')
 
 _NO_SEQUENCE = -1
 
@@ -33,11 +33,11 @@
         waited: whether it was queued because all slots were in use.
     """
 
-    __slots__ = ('began', 'name', 'waited')
+    __slots__ = ('started_at', 'name', 'waited')
 
-    def __init__(self, began: float, name: str) -> None:
+    def __init__(self, started_at: float, name: str) -> None:
         """Initialize a request that starts at ``began``."""
-        self.began = began
+        self.started_at = started_at
         self.name = name
         self.waited = False
 
@@ -50,7 +50,7 @@
         client: address to which packets for the client are sent.
         number: the host's initial sequence number, 0 if unknown.
         established: whether the host has sent more than its SYN.
-        seen: time of the last packet.
+        last_seen: time of the last packet.
         head: first ``HEAD_BYTES`` bytes of the client's last packet.
         request: the request in progress.
         ended: when the end of the flow was detected, 0 while it is open.
@@ -59,13 +59,13 @@
     __slots__ = (
         '_last_request',
         'client',
-        'ended',
+        'ended_at',
         'entry',
         'established',
-        'head',
+        'header',
+        'last_seen',
         'number',
         'request',
-        'seen',
     )
 
     def __init__(self, entry: str, client: tuple[str, int], now: float) -> None:
@@ -74,16 +74,16 @@
         self.client = client
         self.number = 0
         self.established = False
-        self.seen = now
-        self.head = b''
+        self.last_seen = now
+        self.header = b''
         self.request: Request | None = None
-        self.ended: float = 0
+        self.ended_at: float = 0
         self._last_request = _NO_SEQUENCE
 
     def track_packet(self, packet: bytes, now: float) -> Request | None:
         """Track a client's packet; return the request it starts, if any."""
-        self.seen = now
-        self.head = packet[:HEAD_BYTES]
+        self.last_seen = now
+        self.header = packet[:HEADER_BYTES]
         if not begins_request(packet):
             return None
         number = sequence_numbers(packet)[0]
@@ -96,16 +96,16 @@
 
     def track_answer(self, packet: bytes, now: float) -> Answer | None:
         """Track a host's packet; return the answer it starts, if any."""
-        self.seen = now
+        self.last_seen = now
         return read_answer(packet) if self.request else None
 
 
-class PendingPacket:
+class UnansweredPacket:
     """A packet sent to the host, whose flow the host may refuse or not know.
 
     Attributes:
         entry: IP address of the entry that the packet came from.
-        seen: when the packet was sent to the host.
+        sent_at: when the packet was sent to the host.
         searching: whether the entry searches for the flow at other hosts, too.
         relayed: whether the packet came in a RELAYED message; its entry still
             has it queued and needs no copy.
@@ -119,13 +119,13 @@
         'packet',
         'relayed',
         'searching',
-        'seen',
+        'sent_at',
     )
 
-    def __init__(self, entry: str, seen: float, packet: bytes) -> None:
-        """Initialize a pending packet that ``entry`` sent at ``seen``."""
+    def __init__(self, entry: str, sent_at: float, packet: bytes) -> None:
+        """Initialize a pending packet that ``entry`` sent at ``sent_at``."""
         self.entry = entry
-        self.seen = seen
+        self.sent_at = sent_at
         self.packet = packet
         self.searching = False
         self.relayed = False
--- a/siskinbank/status.py
+++ b/siskinbank/status.py
@@ -8,7 +8,7 @@
 from siskinbank.directory.view import FleetView
 from siskinbank.kernel.process import ProcessContext
 from siskinbank.peers.gossip import Gossip
-from siskinbank.peers.readers import READERS, reader_rank
+from siskinbank.peers.readers import READERS_PER_DATA_CENTRE, reader_rank
 from siskinbank.settings import ProcessSettings
 
 __all__ = ('describe', 'start_admin')
@@ -62,7 +62,7 @@
         'leaving': sorted(view.leaving),
         'gone': sorted(view.gone)[:_MAX_GONE_SHOWN],
         'gone_count': len(view.gone),
-        'reads_platform': rank is not None and rank < READERS,
+        'reads_platform': rank is not None and rank < READERS_PER_DATA_CENTRE,
         'live_list_age_seconds': gossip.ages.read_age(
             settings.data_centre,
             now,
--- a/siskinbank/tracking/own_host.py
+++ b/siskinbank/tracking/own_host.py
@@ -237,7 +237,7 @@
         record = self.record
         if record is None or not record.cold_per_s or now >= self._cold_until:
             return None
-        return self._cold.spare(now, record.cold_per_s)
+        return self._cold.flows_left(now, record.cold_per_s)
 
     def note_admitted(self, key: bytes, now: float) -> None:
         """Count a flow against the cold limit, and expect its request."""
@@ -264,7 +264,7 @@
     if record is None:
         return reasons.NONE
     if record.flags & messages.EVACUATED:
-        return reasons.OUT
+        return reasons.EVACUATED
     if not record.flags & messages.REGISTERED:
         return reasons.UNREGISTERED
     if record.service != service:
--- a/siskinbank/wire/loads.py
+++ b/siskinbank/wire/loads.py
@@ -20,5 +20,5 @@
     service: int
     hosts: list  # type: ignore[type-arg]
     loads: list  # type: ignore[type-arg]
-    rooms: list  # type: ignore[type-arg]
+    free_connections: list  # type: ignore[type-arg]
     ages: list  # type: ignore[type-arg]
--- a/siskinbank/wire/packets.py
+++ b/siskinbank/wire/packets.py
@@ -84,7 +84,7 @@
         return self.protocol == UDP or self.first
 
     @property
-    def last(self) -> bool:
+    def is_reset(self) -> bool:
         """Whether the packet resets the flow."""
         return bool(self.flags & _RST)
 
--- a/siskinbank/wire/request_messages.py
+++ b/siskinbank/wire/request_messages.py
@@ -5,7 +5,6 @@
 from siskinbank.wire.messages import Message, message
 
 __all__ = (
-    'AnswerHead',
     'BodyPart',
     'Cancel',
     'Credit',
@@ -20,6 +19,7 @@
     'Ping',
     'Refused',
     'RequestHead',
+    'ResponseHead',
     'TicketIssued',
     'TunnelOpened',
 )
@@ -104,7 +104,7 @@
 
 @message
 @dataclasses.dataclass(frozen=True, slots=True)
-class AnswerHead(Message):
+class ResponseHead(Message):
     """Starts one response; the parts of its body follow.
 
     ``length`` is the declared size of the body in bytes, -1 if it is not
--- a/tests/admission/test_arrivals.py
+++ b/tests/admission/test_arrivals.py
@@ -147,7 +147,9 @@
         starting = [reasons.DRAINING, reasons.REFUSING]
         self.assertFalse(no_host_is_final(starting, 0))
         self.assertTrue(no_host_is_final(starting, 2))
-        self.assertTrue(no_host_is_final([reasons.DRAINING, reasons.OUT], 0))
+        self.assertTrue(
+            no_host_is_final([reasons.DRAINING, reasons.EVACUATED], 0)
+        )
         self.assertTrue(no_host_is_final([], 0))
 
 
@@ -197,7 +199,7 @@
             accepted_times: list[float] = []
             for step in range(5000):
                 now = step / 1000
-                if limit.spare(now, per_s):
+                if limit.flows_left(now, per_s):
                     limit.note(now)
                     accepted_times.append(now)
             most = max(
@@ -220,5 +222,5 @@
 
     def test_reason_names(self) -> None:
         """Reasons that a newer version sends are unknown."""
-        self.assertEqual(reasons.name_of(reasons.OUT), 'data-centre-out')
+        self.assertEqual(reasons.name_of(reasons.EVACUATED), 'data-centre-out')
         self.assertEqual(reasons.name_of(200), 'unknown')
--- a/tests/entry/test_flow_cache.py
+++ b/tests/entry/test_flow_cache.py
@@ -72,8 +72,10 @@
             searches.begin(str(number).encode(), FlowSearch(0, b''))
             number += 1
         self.assertLessEqual(number, 512)
-        self.assertEqual(searches.ongoing(0.01), [])
-        self.assertEqual(len(searches.ongoing(REPEAT_INTERVAL_S)), number)
+        self.assertEqual(searches.due_for_repeat(0.01), [])
+        self.assertEqual(
+            len(searches.due_for_repeat(REPEAT_INTERVAL_S)), number
+        )
         search = searches.end(b'0')
         self.assertIsNone(searches.get(b'0'))
         for step in range(100):
--- a/tests/ingress/test_http.py
+++ b/tests/ingress/test_http.py
@@ -13,12 +13,12 @@
 from siskinbank.wire.headers import TICKET_HEADER
 from siskinbank.wire.messages import Message
 from siskinbank.wire.request_messages import (
-    AnswerHead,
     BodyPart,
     LinkOpened,
     OpenRequests,
     Refused,
     RequestHead,
+    ResponseHead,
 )
 from siskinbank.wire.streams import MessageStream
 from tests.request_case import RequestCase, running_rig
@@ -307,7 +307,7 @@
             received: Message | None = await stream.receive()
             if isinstance(received, Refused):
                 refused[received.number] = received.reason
-            elif isinstance(received, AnswerHead):
+            elif isinstance(received, ResponseHead):
                 answered.add(received.number)
         return refused, answered
 
--- a/tests/lab/test_dissemination.py
+++ b/tests/lab/test_dissemination.py
@@ -8,7 +8,10 @@
 from siskinbank.lab.configuration import measure_configuration
 from siskinbank.lab.membership import measure_membership
 from siskinbank.lab.virtual_fleet import CENTRES, VirtualFleet
-from siskinbank.peers.readers import FALLBACK_CALLS_PER_SECOND, READERS
+from siskinbank.peers.readers import (
+    FALLBACK_CALLS_PER_SECOND,
+    READERS_PER_DATA_CENTRE,
+)
 
 SIZE = 24
 SEED = 7
@@ -65,7 +68,7 @@
         self.assertEqual(generations(fleet), {1})
         self.assertTrue(all(node.gossip.fresh for node in fleet.alive))
         self.assertFalse(any(node.gossip.gone for node in fleet.alive))
-        readers = 2 * READERS * len(CENTRES)
+        readers = 2 * READERS_PER_DATA_CENTRE * len(CENTRES)
         self.assertLessEqual(
             max(fleet.platform.calls.values()),
             readers + FALLBACK_CALLS_PER_SECOND,
@@ -84,7 +87,7 @@
             keys, {max(fleet.platform.manifest.key, conflicting[1].key)}
         )
         logged = sum(
-            node.log.event_counts[events.CONFLICT.number]
+            node.log.event_counts[events.GENERATION_CONFLICT.number]
             for node in fleet.alive
         )
         counted = sum(
--- a/tests/peers/test_freshness.py
+++ b/tests/peers/test_freshness.py
@@ -12,7 +12,7 @@
 from siskinbank.peers.rate import TokenBucket
 from siskinbank.peers.readers import (
     FALLBACK_CALLS_PER_SECOND,
-    READERS,
+    READERS_PER_DATA_CENTRE,
     read_interval,
 )
 from siskinbank.peers.transfer import PIECE_BYTES, PieceCollector, send_pieces
@@ -69,9 +69,11 @@
         """Other processes read only when the readers fail."""
         rng = random.Random(1)
         self.assertEqual(read_interval(0, 0, 10, rng), 1)
-        self.assertIsNone(read_interval(READERS, 1, 10, rng))
-        self.assertIsNotNone(read_interval(READERS, 5, 10, rng))
-        self.assertIsNone(read_interval(READERS + 9, 5, 10, rng))
+        self.assertIsNone(read_interval(READERS_PER_DATA_CENTRE, 1, 10, rng))
+        self.assertIsNotNone(read_interval(READERS_PER_DATA_CENTRE, 5, 10, rng))
+        self.assertIsNone(
+            read_interval(READERS_PER_DATA_CENTRE + 9, 5, 10, rng)
+        )
 
     def test_fallback_rate(self) -> None:
         """The total fallback rate is bounded for any fleet size."""
--- a/tests/platform/test_records.py
+++ b/tests/platform/test_records.py
@@ -10,13 +10,15 @@
 
 from siskinbank.platform.documents import DocumentError, decode
 from siskinbank.platform.encoding import (
-    HostEntry,
-    RouteEntry,
+    HostDocument,
+    RouteDocument,
     encode_configuration,
 )
 from siskinbank.platform.records import decode_configuration, decode_host
 
-ENTRY = HostEntry('matcher', ('10.0.0.9', 8080), 'a', 3, cold_s=1.5, born_ms=7)
+ENTRY = HostDocument(
+    'matcher', ('10.0.0.9', 8080), 'a', 3, cold_s=1.5, born_ms=7
+)
 PLAIN = st.one_of(
     st.none(),
     st.booleans(),
@@ -93,21 +95,25 @@
         """Routes are keyed by address and port as in a flow key."""
         raw = encode_configuration(
             9,
-            [RouteEntry('matcher', ('198.18.0.1', 443), 1.5, idempotent=False)],
+            [
+                RouteDocument(
+                    'matcher', ('198.18.0.1', 443), 1.5, idempotent=False
+                )
+            ],
             cold_per_s=4,
         )
         version, routes, warm_ups = decode_configuration(raw)
         self.assertEqual(version, 9)
         route = routes[bytes((198, 18, 0, 1, 443 >> 8, 443 & 255))]
         self.assertEqual(route.service_for(5), 'matcher')
-        self.assertEqual((route.limit_s, route.target_latency_s), (1.5, 1.5))
+        self.assertEqual((route.timeout_s, route.target_latency_s), (1.5, 1.5))
         self.assertFalse(route.idempotent)
         self.assertEqual(warm_ups['matcher'].cold_requests_per_s, 4)
 
     def test_weighted_services(self) -> None:
         """Services are chosen by weight; one of weight 0 gets no flows."""
         document = json.loads(
-            encode_configuration(1, [RouteEntry('a', ('1.2.3.4', 80))]),
+            encode_configuration(1, [RouteDocument('a', ('1.2.3.4', 80))]),
         )
         route = document['Routes'][0]
         route.pop('Service')
@@ -125,7 +131,7 @@
     def test_invalid_configurations(self) -> None:
         """A configuration with any malformed part is refused."""
         good = json.loads(
-            encode_configuration(1, [RouteEntry('a', ('1.2.3.4', 80))]),
+            encode_configuration(1, [RouteDocument('a', ('1.2.3.4', 80))]),
         )
         for change in (
             {'Version': '1'},
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -4,7 +4,7 @@
 import unittest
 
 from siskinbank.platform.documents import DocumentError
-from siskinbank.platform.encoding import Item, encode_page, read_call
+from siskinbank.platform.encoding import Item, encode_page, read_store_call
 from siskinbank.platform.store import (
     HOSTS_PREFIX,
     OPERATOR_PREFIX,
@@ -22,16 +22,18 @@
 
     def test_listing(self) -> None:
         """A listing continues after an escaped key."""
-        call = read_call(page_path(HOSTS_PREFIX, 'servers/a b&c=ä', stale=True))
+        call = read_store_call(
+            page_path(HOSTS_PREFIX, 'servers/a b&c=ä', stale=True)
+        )
         self.assertEqual(call.kind, 'list')
         self.assertEqual(call.prefix, HOSTS_PREFIX)
         self.assertEqual(call.after, 'servers/a b&c=ä')
         self.assertTrue(call.stale)
-        self.assertFalse(read_call(page_path(HOSTS_PREFIX)).stale)
+        self.assertFalse(read_store_call(page_path(HOSTS_PREFIX)).stale)
 
     def test_one_item(self) -> None:
         """One item is requested by its key and decoded."""
-        call = read_call(key_path('op/config'))
+        call = read_store_call(key_path('op/config'))
         self.assertEqual((call.kind, call.prefix), ('read', 'op/config'))
         item = Item('op/config', b'{}', 7).document()
         change = read_change(json.dumps({**item, 'At': 9}).encode())
@@ -40,7 +42,7 @@
 
     def test_watch(self) -> None:
         """A watch has a revision and a wait in whole milliseconds."""
-        call = read_call(watch_path(OPERATOR_PREFIX, 41, 1.0004))
+        call = read_store_call(watch_path(OPERATOR_PREFIX, 41, 1.0004))
         self.assertEqual((call.kind, call.after), ('watch', '41'))
         self.assertEqual(call.wait_s, 1)
 
--- a/tests/relay/test_end_to_end.py
+++ b/tests/relay/test_end_to_end.py
@@ -9,7 +9,7 @@
 
 from siskinbank.lab.rig.client import ClientStandIn, FlowFailed
 from siskinbank.lab.rig.fleet import TARGET, Fleet
-from siskinbank.platform.encoding import Packet, RouteEntry
+from siskinbank.platform.encoding import Packet, RouteDocument
 from siskinbank.platform.packets import ACK, BOUNCED, SYN
 from siskinbank.platform.store import HOSTS_PREFIX
 
@@ -153,7 +153,7 @@
         await asyncio.sleep(0.2)
         self.fleet.store.compact()
         await self.fleet.publish(
-            [RouteEntry('matcher', TARGET), RouteEntry('matcher', new)],
+            [RouteDocument('matcher', TARGET), RouteDocument('matcher', new)],
         )
         self.fleet.store.compact()
         await self.eventually(lambda: _serves(self.fleet.clients[1], new))
@@ -161,7 +161,7 @@
     async def test_removed_route_stays_refused(self) -> None:
         """At both entries; none returns to the older configuration."""
         other = (TARGET[0], 8443)
-        await self.fleet.publish([RouteEntry('matcher', other)])
+        await self.fleet.publish([RouteDocument('matcher', other)])
         await asyncio.sleep(_MAX_APPLY_S)
         for client in self.fleet.clients:
             self.assertFalse(await _serves(client, TARGET))
@@ -196,7 +196,7 @@
         self.fleet.store.busy = refused.__eq__
         new = (TARGET[0], 8080)
         await self.fleet.publish(
-            [RouteEntry('matcher', TARGET), RouteEntry('matcher', new)],
+            [RouteDocument('matcher', TARGET), RouteDocument('matcher', new)],
         )
         await self.eventually(lambda: _serves(self.fleet.clients[0], new))
 
--- a/tests/request_case.py
+++ b/tests/request_case.py
@@ -30,7 +30,7 @@
     """Run a rig in which the primary hosts of keys are settled."""
     rig = RequestRig(random.Random(1), slots)
     await rig.start(entries, hosts)
-    rig.skew += SETTLE_SECONDS + 1
+    rig.clock_offset += SETTLE_SECONDS + 1
     try:
         yield rig
     finally:
@@ -76,7 +76,7 @@
         except aiohttp.ClientError:
             return 'lost', b''
 
-    async def take_ticket(self, url: str, key: str = '') -> str:
+    async def request_ticket(self, url: str, key: str = '') -> str:
         """Request a ticket and return it."""
         headers = {TICKET_HEADER: 'new', KEY_HEADER: key}
         if not key:
--- a/tests/sidecar/test_execution_claims.py
+++ b/tests/sidecar/test_execution_claims.py
@@ -9,14 +9,14 @@
 from siskinbank.lab.request_rig import RequestRig, RigHost, wait_until
 from siskinbank.sidecar.primary_hosts import SETTLE_SECONDS
 from siskinbank.wire.messages import Message
-from siskinbank.wire.request_messages import AnswerHead, BodyPart, RequestHead
+from siskinbank.wire.request_messages import BodyPart, RequestHead, ResponseHead
 from tests.request_case import RequestCase, running_rig
 
 #: Messages of the exchange, and whether they go from entry to sidecar.
 STEPS = (
     (RequestHead, True),
     (BodyPart, True),
-    (AnswerHead, False),
+    (ResponseHead, False),
     (BodyPart, False),
 )
 BODY = b'x' * 100_000
@@ -51,7 +51,7 @@
         """Send one ticket twice over a link with one fault."""
         async with running_rig(entries=2, hosts=1) as rig:
             link = rig.hosts['matcher-1'].link
-            ticket = await self.take_ticket(rig.urls()[0])
+            ticket = await self.request_ticket(rig.urls()[0])
             link.script = fail_first(step, fault)  # type: ignore[assignment]
             # A doubled message causes no delay, so the request must be answered
             # in time.
@@ -101,7 +101,7 @@
         """Nine copies of a key, and of a ticket, run once."""
         async with running_rig(entries=3, hosts=3) as rig:
             urls = rig.urls()
-            ticket = await self.take_ticket(urls[0], 'k2')
+            ticket = await self.request_ticket(urls[0], 'k2')
             for key, given in (('k1', ''), ('k2', ticket)):
                 outcomes = await asyncio.gather(
                     *(
@@ -131,7 +131,7 @@
         """Send a key, and one with a ticket, before and after a change."""
         async with running_rig(entries=2, hosts=3) as rig:
             urls = rig.urls()
-            ticket = await self.take_ticket(urls[0], 'k2')
+            ticket = await self.request_ticket(urls[0], 'k2')
             await self.post(urls[0], key='k1')
             await self.post(urls[0], key='k2', ticket=ticket)
             await change(rig, self.ran_at(rig, 'k1'))
@@ -162,15 +162,15 @@
             joining = rig.hosts['matcher-3']
             joining.state = 'absent'
             rig.publish()
-            rig.skew += 2 * SETTLE_SECONDS
+            rig.clock_offset += 2 * SETTLE_SECONDS
             await self.restart(rig, joining)
-            rig.skew += 2 * SETTLE_SECONDS
+            rig.clock_offset += 2 * SETTLE_SECONDS
             self.assertEqual(await self.send_keys(url, 'k'), {'answered'})
             joining.state = 'active'
             rig.publish()
             self.assertEqual(await self.send_keys(url, 'k'), {'unknown'})
             self.assertEqual(self.max_runs(rig), 1)
-            rig.skew += SETTLE_SECONDS + 1
+            rig.clock_offset += SETTLE_SECONDS + 1
             self.assertEqual(await self.send_keys(url, 'new'), {'answered'})
             self.assertTrue(joining.upstream.runs)
 
@@ -181,7 +181,7 @@
             first, second, third = rig.hosts.values()
             third.state = 'draining'
             rig.publish()
-            rig.skew += 2 * SETTLE_SECONDS
+            rig.clock_offset += 2 * SETTLE_SECONDS
             third.state = 'active'
             rig.publish_to(second, third, rig.entries[0])
             self.assertEqual(await self.send_keys(url, 'k'), {'answered'})
@@ -216,10 +216,10 @@
             await self.restart(rig, rig.hosts['matcher-1'])
             self.assertEqual((await self.post(url, key='k'))[0], 'unknown')
             self.assertEqual(self.runs(rig, 'k'), 0)
-            ticket = await self.take_ticket(url)
+            ticket = await self.request_ticket(url)
             outcome, _body = await self.post(url, ticket=ticket)
             self.assertEqual(outcome, 'answered')
-            rig.skew += SETTLE_SECONDS + 1
+            rig.clock_offset += SETTLE_SECONDS + 1
             self.assertEqual((await self.post(url, key='k'))[0], 'answered')
 
     async def test_late_copy(self) -> None:
@@ -227,7 +227,7 @@
         async with running_rig(entries=1, hosts=1) as rig:
             host = rig.hosts['matcher-1']
             url = rig.urls()[0]
-            ticket = await self.take_ticket(url)
+            ticket = await self.request_ticket(url)
             host.link.pause()
             for key, given in (('k1', ''), ('k2', ticket)):
                 outcome, _body = await self.post(
@@ -243,7 +243,7 @@
         """After a refusal no copy of the ticket runs."""
         async with running_rig(entries=1, hosts=1) as rig:
             url = rig.urls()[0]
-            ticket = await self.take_ticket(url)
+            ticket = await self.request_ticket(url)
             rig.hosts['matcher-1'].state = 'draining'
             rig.publish()
             self.assertEqual(
--- a/tests/tracking/test_configuration.py
+++ b/tests/tracking/test_configuration.py
@@ -3,13 +3,13 @@
 import unittest
 
 from siskinbank.platform.documents import DocumentError
-from siskinbank.platform.encoding import RouteEntry, encode_configuration
+from siskinbank.platform.encoding import RouteDocument, encode_configuration
 from siskinbank.tracking.configuration import Configuration
 
 
 def raw(version: int) -> bytes:
     """Return a configuration with one route."""
-    return encode_configuration(version, [RouteEntry('a', ('1.2.3.4', 80))])
+    return encode_configuration(version, [RouteDocument('a', ('1.2.3.4', 80))])
 
 
 class TestConfiguration(unittest.TestCase):
--- a/tests/tracking/test_own_host.py
+++ b/tests/tracking/test_own_host.py
@@ -42,7 +42,7 @@
             (
                 (flags, reasons.NONE),
                 (flags | messages.DRAINING, reasons.DRAINING),
-                (flags | messages.EVACUATED, reasons.OUT),
+                (flags | messages.EVACUATED, reasons.EVACUATED),
                 (messages.OPERATOR_READ, reasons.UNREGISTERED),
                 (flags, reasons.NONE),
             ),
@@ -68,9 +68,9 @@
         )
         self.host.apply_record(record(20, 20, flags), 101)
         self.assertFalse(self.host.apply_record(record(19, 30), 102))
-        self.assertEqual(self.host.state(102), reasons.OUT)
+        self.assertEqual(self.host.state(102), reasons.EVACUATED)
         self.assertTrue(self.host.apply_record(record(21, 19), 102))
-        self.assertEqual(self.host.state(102), reasons.OUT)
+        self.assertEqual(self.host.state(102), reasons.EVACUATED)
         self.assertTrue(self.host.apply_record(record(22, 21), 102))
         self.assertEqual(self.host.state(102), reasons.NONE)
 
