--- a/examples/library/generations.py
+++ b/examples/library/generations.py
@@ -1,4 +1,4 @@
-"""Distribute a document among three processes; older ones are ignored."""
+"""Distribute documents among three processes; older ones are ignored."""
 
 import random
 from collections.abc import Callable
--- a/examples/library/leases.py
+++ b/examples/library/leases.py
@@ -1,4 +1,4 @@
-"""Entries that expire, also while the machine is suspended."""
+"""Addresses of peers that expire, also while the machine is suspended."""
 
 from siskinbank.coordination import FakeClock, Leases
 
--- a/examples/library/limit.py
+++ b/examples/library/limit.py
@@ -1,4 +1,4 @@
-"""A limit that rises during warm-up and is reset when the host is cold."""
+"""A limit that rises during warm-up and is reset when the host restarts."""
 
 from siskinbank.coordination import ClimbingLimit, FakeClock
 
--- a/examples/plugins/hello_ingress.py
+++ b/examples/plugins/hello_ingress.py
@@ -1,4 +1,4 @@
-"""An ingress plug-in that sends each caller the hosts that would serve it."""
+"""An ingress plug-in that tells each caller which hosts would serve it."""
 
 import asyncio
 
--- a/siskinbank/commands/_options.py
+++ b/siskinbank/commands/_options.py
@@ -92,7 +92,8 @@
         logging_options,
         _option(
             '--keys',
-            help_text='One or two keys, ID:HEX[,ID:HEX], or @FILE; the first seals.',
+            help_text='One or two keys, ID:HEX[,ID:HEX], or @FILE; the first one '
+            'seals datagrams.',
             type=KEYS,
             required=True,
         ),
--- a/siskinbank/commands/entry.py
+++ b/siskinbank/commands/entry.py
@@ -23,7 +23,7 @@
     help_text='IP address for services that do not set one.',
     default='0.0.0.0',
 )
-def command(log_level: str, log_format: str, **given: Any) -> int:
+def command(log_level: str, log_format: str, **options: Any) -> int:
     """Accept packets, connections and requests and forward them to sidecars.
 
     \b
@@ -33,7 +33,7 @@
     from siskinbank.entry.daemon import start_entry
     from siskinbank.settings import EntrySettings
 
-    settings = EntrySettings(**given)
+    settings = EntrySettings(**options)
     return run_command(
         'entry',
         settings.name,
--- a/siskinbank/commands/keys.py
+++ b/siskinbank/commands/keys.py
@@ -74,7 +74,9 @@
         click.echo(f'{key.fingerprint} {use}')
         if key.is_weak:
             weak += 1
-            click.echo(f'key {key.ident}: repeats few bytes; create a new key')
+            click.echo(
+                f'key {key.ident}: too few distinct bytes; create a new key'
+            )
     return 1 if weak else 0
 
 
--- a/siskinbank/commands/sidecar.py
+++ b/siskinbank/commands/sidecar.py
@@ -37,7 +37,7 @@
     help_text='URL of the health or load report of the upstream.',
     type=URL,
 )
-def command(log_level: str, log_format: str, **given: Any) -> int:
+def command(log_level: str, log_format: str, **options: Any) -> int:
     """Admit work to the upstream and own its flows.
 
     The name must be the name of the host in the configuration.
@@ -49,7 +49,7 @@
     from siskinbank.settings import SidecarSettings
     from siskinbank.sidecar.daemon import start_sidecar
 
-    settings = SidecarSettings(**given)
+    settings = SidecarSettings(**options)
     return run_command(
         'sidecar',
         settings.name,
--- a/siskinbank/config/check.py
+++ b/siskinbank/config/check.py
@@ -38,9 +38,9 @@
     except ValidationError as error:
         _add_validation_errors(error, locate, findings)
         return None
-    before = len(findings)
+    count_before = len(findings)
     _check_document(model, locate, findings)
-    return model if len(findings) == before else None
+    return model if len(findings) == count_before else None
 
 
 def _add_validation_errors(
@@ -76,9 +76,9 @@
     for name, service in model.services.items():
         path: KeyPath = ('services', name)
         _check_cold_limits(service, path, locate, findings)
-        for kind, endpoint in service.ingress.items():
-            endpoint_path: KeyPath = (*path, 'ingress', kind)
-            key = (_socket_family(kind), endpoint.address, endpoint.port)
+        for ingress, endpoint in service.ingress.items():
+            endpoint_path: KeyPath = (*path, 'ingress', ingress)
+            key = (_socket_family(ingress), endpoint.address, endpoint.port)
             _check_unique(endpoints, key, endpoint_path, locate, findings)
             _check_wildcard_address(
                 endpoints, key, endpoint_path, locate, findings
@@ -115,8 +115,13 @@
     )
 
 
-def _socket_family(kind: str) -> str:
-    return 'sprayed' if kind == 'fou' else 'listening'
+def _socket_family(ingress: str) -> str:
+    """Return the family of an ingress; a port conflicts only within a family.
+
+    The packet services of ``fou`` share one UDP socket, the services of all
+    other ingresses have listening sockets of their own.
+    """
+    return 'sprayed' if ingress == 'fou' else 'listening'
 
 
 def _check_unique(
@@ -149,7 +154,7 @@
     locate: Locate,
     findings: Findings,
 ) -> None:
-    """Find a port that is used on all addresses and again on one."""
+    """Add a finding for a port used on all addresses and again on one."""
     family, address, port = key
     for (other_family, other, other_port), first in endpoints.items():
         same_port = (other_family, other_port) == (family, port)
--- a/siskinbank/config/overlay.py
+++ b/siskinbank/config/overlay.py
@@ -22,7 +22,7 @@
     Returns:
         The effective document, or None when findings were added.
     """
-    before = len(findings)
+    count_before = len(findings)
     documents = [read_document(file, findings) for file in (base, *overlays)]
     if any(not document.content for document in documents):
         return None
@@ -34,7 +34,7 @@
     model = check_content(content, locate, findings)
     if model is not None:
         _check_ingresses(model, locate, findings)
-    return model if len(findings) == before else None
+    return model if len(findings) == count_before else None
 
 
 def remove_unserved(model: DocumentModel) -> DocumentModel:
@@ -85,16 +85,16 @@
     merged = dict(base)
     for key, override in overrides.items():
         key_path = (*path, key)
-        known = base.get(key)
+        base_value = base.get(key)
         if override is None:
             _remove_key(merged, key, overlay.place(key_path), findings)
             continue
-        if isinstance(known, dict) and isinstance(override, dict):
+        if isinstance(base_value, dict) and isinstance(override, dict):
             merged[key] = _merge_mappings(
-                known, override, key_path, overlay, findings
+                base_value, override, key_path, overlay, findings
             )
             continue
-        if known == override:
+        if base_value == override:
             problem = 'same value as in an earlier file'
             findings.add(overlay.place(key_path), problem, 'remove it here')
         merged[key] = override
--- a/siskinbank/config/sections.py
+++ b/siskinbank/config/sections.py
@@ -37,7 +37,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Manifest:
-    """The generation of a document and the digests of its sections."""
+    """The generation of a document and the digests of its sections.
+
+    Attributes:
+        generation: the generation number of the document.
+        sections: the hexadecimal digests by section name.
+    """
 
     generation: int
     sections: dict[str, str]
@@ -147,8 +152,8 @@
 
 def _make_service(name: str, model: ServiceModel) -> Service:
     endpoints = tuple(
-        Endpoint(kind, endpoint.address, endpoint.port)
-        for kind, endpoint in model.ingress.items()
+        Endpoint(ingress, endpoint.address, endpoint.port)
+        for ingress, endpoint in model.ingress.items()
     )
     hosts = tuple(
         Host(
--- a/siskinbank/config/site.py
+++ b/siskinbank/config/site.py
@@ -81,7 +81,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Service:
-    """A service and its pool of hosts."""
+    """A service and its pool of hosts.
+
+    Attributes:
+        name: the name of the service.
+        endpoints: the addresses of the service, one for each ingress.
+        connections: the full limit of connections and flows of each host.
+        slots: the full limit of concurrent requests of each host.
+        cold: the limits right after the start of a host.
+        hosts: the hosts that serve the service.
+    """
 
     name: str
     endpoints: tuple[Endpoint, ...]
@@ -98,7 +107,15 @@
 
 @dataclass(frozen=True)
 class Site:
-    """The configuration of a site at one generation."""
+    """The configuration of a site at one generation.
+
+    Attributes:
+        name: the name of the site.
+        generation: the generation number of the configuration.
+        data_centres: the data centres by name.
+        services: the services by name.
+        digests: the hexadecimal digests of the sections by section name.
+    """
 
     name: str
     generation: int
--- a/siskinbank/kernel/events.py
+++ b/siskinbank/kernel/events.py
@@ -97,13 +97,13 @@
     211,
     'INFO',
     'reading the platform',
-    'By rank this process is a reader of the platform for its data centre.',
+    'The process reads the platform for its data centre, because of its rank.',
 )
 LIST_HELD = _define(
     220,
     _WARNING,
     'live list omits many known instances',
-    'The list is used only after it has stayed the same for a while.',
+    'The omissions take effect only if they persist for 30 s.',
 )
 ISOLATED = _define(
     221,
@@ -121,8 +121,8 @@
     240,
     _WARNING,
     'no valid key: refused',
-    'A sender without a valid key sent datagrams or opened a stream; all of '
-    'it was discarded. Written at most once a minute; the counters '
+    'A sender without a valid key sent datagrams or opened a stream; what it '
+    'sent was discarded. Written at most once a minute; the counters '
     '`unkeyed` and `unkeyed-stream` count every occurrence.',
 )
 KEYS_RELOADED = _define(
@@ -147,26 +147,28 @@
     400,
     _WARNING,
     'upstream turned cold',
-    'Its limits are reset to the cold limits; open flows are readmitted as it '
-    'warms up.',
+    'The limits of the upstream are reset to the cold limits; open flows are '
+    'suspended, and readmitted as it warms up.',
 )
 UPSTREAM_UNREACHABLE = _define(
     401,
     'ERROR',
     'upstream unreachable',
-    'It refuses or resets connections; no work is sent to it until it answers.',
+    'The upstream refuses or resets connections; it gets no work until it '
+    'answers.',
 )
 UPSTREAM_RECOVERED = _define(
     402,
     'INFO',
     'upstream answers again',
-    'It is treated as cold and receives work as it warms up.',
+    'The upstream is treated as cold; it gets more work as it warms up.',
 )
 REPORT_IGNORED = _define(
     403,
     _WARNING,
     'upstream report ignored',
-    'Its health endpoint reports a problem that its answers do not confirm.',
+    'The health endpoint of the upstream reports a problem that its answers '
+    'do not confirm.',
 )
 HANDLER_FAILED = _define(
     900,
--- a/siskinbank/kernel/metrics.py
+++ b/siskinbank/kernel/metrics.py
@@ -19,7 +19,7 @@
 __all__ = ('Metrics',)
 
 _PREFIX = 'siskinbank'
-_MAX_MICROSECONDS = 600_000_000
+_MAX_RECORDED_MICROSECONDS = 600_000_000
 _SIGNIFICANT_DIGITS = 2
 _PERCENTILES = (50, 90, 99)
 _MICROSECONDS_PER_SECOND = 1_000_000
@@ -84,10 +84,12 @@
         """Record a duration."""
         histogram = self._times.get(name)
         if histogram is None:
-            histogram = HdrHistogram(1, _MAX_MICROSECONDS, _SIGNIFICANT_DIGITS)
+            histogram = HdrHistogram(
+                1, _MAX_RECORDED_MICROSECONDS, _SIGNIFICANT_DIGITS
+            )
             self._times[name] = histogram
         microseconds = max(int(seconds * _MICROSECONDS_PER_SECOND), 1)
-        histogram.record_value(min(microseconds, _MAX_MICROSECONDS))
+        histogram.record_value(min(microseconds, _MAX_RECORDED_MICROSECONDS))
 
     def collect(self) -> Iterator[Metric]:
         """Yield all metric families, for prometheus_client."""
@@ -118,8 +120,10 @@
     def _all_counts(self) -> dict[str, dict[str, int]]:
         """Return all counters, including those that are zero."""
         families: dict[str, dict[str, int]] = {
-            kind.__name__.lower(): {reason.value: 0 for reason in kind}
-            for kind in (Drop, Refusal, Retry)
+            reason_class.__name__.lower(): {
+                reason.value: 0 for reason in reason_class
+            }
+            for reason_class in (Drop, Refusal, Retry)
         }
         for family, reasons in self.counts.items():
             families.setdefault(family, {}).update(reasons)
--- a/siskinbank/kernel/process.py
+++ b/siskinbank/kernel/process.py
@@ -36,8 +36,9 @@
         self._tasks: set[asyncio.Task[None]] = set()
         self._drain_callbacks: list[Callable[[], Awaitable[None]]] = []
         self._close_callbacks: list[Callable[[], Awaitable[None]]] = []
+        #: Objects that the ingresses of the process share, by name.
         self.shared: dict[str, Any] = {}
-        #: Returns the amount of open work, for each kind of work.
+        #: Functions that count the open work, by kind of work.
         self.open_work: dict[str, Callable[[], int]] = {}
 
     def start_task(self, work: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
@@ -106,11 +107,11 @@
     start: Callable[[ProcessContext], Awaitable[None]],
 ) -> int:
     context = ProcessContext(role, name)
-    stopped_at_once = asyncio.Event()
+    stop_immediately = asyncio.Event()
 
     def stop() -> None:
         if context.stopping.is_set():
-            stopped_at_once.set()
+            stop_immediately.set()
         context.stopping.set()
 
     loop = asyncio.get_running_loop()
@@ -122,14 +123,16 @@
         context.log.write(events.STARTED)
         await context.stopping.wait()
         context.log.write(events.STOPPING)
-        return await _stop(context, stopped_at_once)
+        return await _stop(context, stop_immediately)
     finally:
         await context.close()
 
 
-async def _stop(context: ProcessContext, stopped_at_once: asyncio.Event) -> int:
+async def _stop(
+    context: ProcessContext, stop_immediately: asyncio.Event
+) -> int:
     drain = asyncio.create_task(context.drain())
-    second_signal = asyncio.create_task(stopped_at_once.wait())
+    second_signal = asyncio.create_task(stop_immediately.wait())
     await asyncio.wait(
         (drain, second_signal), return_when=asyncio.FIRST_COMPLETED
     )
@@ -139,6 +142,6 @@
         context.log.write(events.STOPPED)
         return 0
     drain.cancel()
-    cut = {name: count() for name, count in context.open_work.items()}
-    context.log.write(events.STOPPED_IMMEDIATELY, cut=cut)
+    interrupted = {name: count() for name, count in context.open_work.items()}
+    context.log.write(events.STOPPED_IMMEDIATELY, cut=interrupted)
     return _EXIT_STOPPED_IMMEDIATELY
--- a/siskinbank/kernel/reasons.py
+++ b/siskinbank/kernel/reasons.py
@@ -40,7 +40,7 @@
 
 
 class Retry(enum.StrEnum):
-    """Why work was retried at another host."""
+    """Why work was retried at another host, or why it could not be."""
 
     not_run = 'not-run'
     unreachable = 'unreachable'
--- a/siskinbank/kernel/registry.py
+++ b/siskinbank/kernel/registry.py
@@ -33,7 +33,7 @@
 
 
 class Registry(Generic[PluginT]):
-    """The plug-ins of one role.
+    """The plug-ins of one role, such as ``ingress``.
 
     The modules of the role's package register their plug-ins on import. Other
     distributions provide plug-ins through the entry point group
@@ -64,8 +64,8 @@
             ValueError: another plug-in already uses one of the names.
         """
         for name in (plugin.name, *plugin.aliases):
-            known = self._by_name.setdefault(name, plugin)
-            if known is not plugin:
+            registered = self._by_name.setdefault(name, plugin)
+            if registered is not plugin:
                 raise ValueError(
                     f'duplicate {self._role} plug-in name {name!r}'
                 )
--- a/siskinbank/kernel/timers.py
+++ b/siskinbank/kernel/timers.py
@@ -56,7 +56,7 @@
         self._clock = clock
         self._rng = rng or random.Random()
         self._queue: list[tuple[float, int, Subscription]] = []
-        self._order = itertools.count()
+        self._sequence_numbers = itertools.count()
 
     @property
     def clock(self) -> Clock:
@@ -117,8 +117,8 @@
     async def run(self) -> None:
         """Run the service until cancelled."""
         while True:
-            due = self.run_due()
-            await asyncio.sleep(min(due, _MAX_SLEEP_SECONDS))
+            delay = self.run_due()
+            await asyncio.sleep(min(delay, _MAX_SLEEP_SECONDS))
 
     def _period(self, subscription: Subscription) -> float:
         interval = subscription.interval or 0
@@ -127,4 +127,6 @@
 
     def _push(self, subscription: Subscription, delay: float) -> None:
         due = self._clock() + delay
-        heapq.heappush(self._queue, (due, next(self._order), subscription))
+        heapq.heappush(
+            self._queue, (due, next(self._sequence_numbers), subscription)
+        )
--- a/siskinbank/settings.py
+++ b/siskinbank/settings.py
@@ -34,7 +34,12 @@
 
 @dataclass(frozen=True, slots=True)
 class EntrySettings(ProcessSettings):
-    """Settings of ``siskinbank entry``; ``fou`` is None to disable it."""
+    """Settings of ``siskinbank entry``.
+
+    Attributes:
+        fou: the UDP address for IP-in-UDP packets; None to disable it.
+        listen: the IP address for services that do not set one.
+    """
 
     fou: Address | None
     listen: str
@@ -42,7 +47,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SidecarSettings(ProcessSettings):
-    """Settings of ``siskinbank sidecar``."""
+    """Settings of ``siskinbank sidecar``; an unset upstream address is None.
+
+    Attributes:
+        upstream_packets: the address for IP-in-UDP packets.
+        upstream_tcp: the address for TCP connections.
+        upstream_http: the base URL for requests.
+        upstream_health: the URL of the health or load report.
+    """
 
     upstream_packets: Address | None
     upstream_tcp: Address | None
--- a/siskinbank/status.py
+++ b/siskinbank/status.py
@@ -13,8 +13,8 @@
 
 __all__ = ('describe', 'start_admin')
 
-_MAX_GONE_SHOWN = 20
-_EXPOSITION = 'text/plain; version=0.0.4; charset=utf-8'
+_MAX_GONE_LISTED = 20
+_METRICS_CONTENT_TYPE = 'text/plain; version=0.0.4; charset=utf-8'
 
 
 def describe(
@@ -60,7 +60,7 @@
         'findings': gossip.store.findings,
         'instances': len(gossip.roster),
         'leaving': sorted(view.leaving),
-        'gone': sorted(view.gone)[:_MAX_GONE_SHOWN],
+        'gone': sorted(view.gone)[:_MAX_GONE_LISTED],
         'gone_count': len(view.gone),
         'reads_platform': rank is not None and rank < READERS,
         'live_list_age_seconds': gossip.ages.read_age(
@@ -88,7 +88,7 @@
     async def metrics(_request: web.Request) -> web.Response:
         return web.Response(
             body=process.metrics.exposition(),
-            headers={'Content-Type': _EXPOSITION},
+            headers={'Content-Type': _METRICS_CONTENT_TYPE},
         )
 
     app = web.Application()
--- a/siskinbank/util.py
+++ b/siskinbank/util.py
@@ -25,7 +25,7 @@
 
 
 def hex_digest(raw: bytes) -> str:
-    """Return the hexadecimal digest that identifies a section."""
+    """Return the hexadecimal digest that identifies a document."""
     return hashlib.blake2b(raw, digest_size=_DIGEST_BYTES).hexdigest()
 
 
--- a/tests/commands/test_keys.py
+++ b/tests/commands/test_keys.py
@@ -42,7 +42,7 @@
             ('@/absent', 2),
         ):
             with self.subTest(text=text[:8]):
-                code, lines = run('check', text)
+                code, words = run('check', text)
                 self.assertEqual(code, expected)
-                self.assertNotIn(text, lines)
+                self.assertNotIn(text, words)
         self.assertEqual(run('rotate', f'{good},2:{"ab" * 32}')[0], 2)
--- a/tests/kernel/test_metrics.py
+++ b/tests/kernel/test_metrics.py
@@ -19,7 +19,7 @@
         self.assertEqual(metrics.total('drop'), 3)
 
     def test_zero_counts_are_shown(self) -> None:
-        """Reasons that have not occurred are shown with the value zero."""
+        """A reason is exposed as zero, so that it can be watched in advance."""
         text = Metrics().exposition().decode()
         for family in ('drop', 'refusal', 'retry'):
             with self.subTest(family):
--- a/tests/test_run.py
+++ b/tests/test_run.py
@@ -8,7 +8,7 @@
 
 
 class TestSummary(unittest.TestCase):
-    """Tests of the exit code for CI."""
+    """Tests of the list of known failures and of the exit code."""
 
     def test_reads_list(self) -> None:
         """Only lines with `test:` list tests."""
--- a/tests/tools/test_binary.py
+++ b/tests/tools/test_binary.py
@@ -12,8 +12,8 @@
 ROOT = Path(__file__).parents[2]
 #: Hash seeds that result in different orders of sets of strings.
 SEEDS = ('1', '2')
-#: Imports an extension module of each library that has some.
-LOAD = (
+#: Imports extension modules of all libraries that have any.
+IMPORT_EXTENSIONS = (
     'import aiohttp._http_parser, cryptography.x509, msgpack._cmsgpack, uvloop,'
     ' pydantic, xxhash, yaml._yaml; print(uvloop.__file__)'
 )
@@ -41,7 +41,7 @@
             first, second = (target.read_bytes() for target in targets)
             self.assertEqual(first, second)
             binary = str(targets[0])
-            # Isolated mode without site-packages: only code of the binary is loaded.
+            # Isolated mode, no site-packages: only the binary's code is loaded.
             python = [sys.executable, '-I', '-S']
             version_run = subprocess.run(
                 [*python, binary, '--version'],
@@ -52,7 +52,7 @@
             )
             self.assertIn(__version__, version_run.stdout)
             import_run = subprocess.run(
-                [*python, '-c', _loader(binary)],
+                [*python, '-c', _import_script(binary)],
                 capture_output=True,
                 text=True,
                 check=True,
@@ -61,7 +61,7 @@
             self.assertIn(f'{binary}/uvloop', import_run.stdout)
 
 
-def _loader(binary: str) -> str:
+def _import_script(binary: str) -> str:
     return (
         f'import sys; sys.path.insert(0, {binary!r})\n'
         'import zipimport\n'
@@ -69,5 +69,5 @@
         'space = {"__name__": "bootstrap"}\n'
         'exec(code, space)\n'
         f'sys.meta_path.insert(0, space["ExtensionFinder"]({binary!r}))\n'
-        f'{LOAD}\n'
+        f'{IMPORT_EXTENSIONS}\n'
     )
--- a/tests/tools/test_start_cost.py
+++ b/tests/tools/test_start_cost.py
@@ -20,20 +20,20 @@
     """Tests of processor, import and start times."""
 
     def test_parse_import_times(self) -> None:
-        """Import times are sorted in descending order; other lines are skipped."""
+        """Modules are sorted by descending time; other lines are skipped."""
         expected = [
             ImportTime('siskinbank.relay.http', 643),
             ImportTime('zlib', 152),
         ]
         self.assertEqual(parse_import_times(REPORT), expected)
 
-    def test_cost(self) -> None:
+    def test_processor_time(self) -> None:
         """An import takes more processor time than none."""
         self.assertGreater(
             processor_time_s('import asyncio'), processor_time_s('pass')
         )
 
     async def test_first_request(self) -> None:
-        """Both programs serve again; the fleet limits the waiting time."""
+        """Both processes serve again; the fleet limits the waiting time."""
         for role in ('entry', 'sidecar'):
             self.assertGreater(await time_to_first_request_s(role), 0)
--- a/tools/bootstrap.py
+++ b/tools/bootstrap.py
@@ -1,4 +1,4 @@
-"""Entry point of the binary, which imports all modules without unpacking.
+"""Entry point of the binary, which imports its modules without unpacking.
 
 Python imports pure Python modules directly from an archive. The dynamic loader
 needs extension modules as files, so each is copied to an anonymous file in
--- a/tools/build_binary.py
+++ b/tools/build_binary.py
@@ -18,26 +18,28 @@
 from importlib.machinery import SourceFileLoader as _Compiler
 from pathlib import Path
 
-__all__ = ('build', 'closure')
+__all__ = ('build', 'required_distributions')
 
 _ROOT = Path(__file__).resolve().parent.parent
-_DATE = (1980, 1, 1, 0, 0, 0)
+_MEMBER_DATE = (1980, 1, 1, 0, 0, 0)
 _SHEBANG = '#!/usr/bin/env python{0}.{1}\n'.format(*sys.version_info[:2])
-_MODE = stat.S_IFREG | 0o644
-_EXECUTABLE = 0o755
-_SUFFIX = re.compile(r'\.(cpython-[\w-]+|abi3)\.so$')
-_NAME = re.compile('^[A-Za-z0-9._-]+')
+_MEMBER_MODE = stat.S_IFREG | 0o644
+_EXECUTABLE_MODE = 0o755
+_EXTENSION_SUFFIX = re.compile(r'\.(cpython-[\w-]+|abi3)\.so$')
+_NAME_PATTERN = re.compile('^[A-Za-z0-9._-]+')
 #: Files that `importlib.metadata` needs to return the installed version.
-_METADATA = frozenset(('METADATA', 'entry_points.txt', 'top_level.txt'))
+_METADATA_FILES = frozenset(('METADATA', 'entry_points.txt', 'top_level.txt'))
 #: Parts of the dependencies that are never imported.
 _EXCLUDED_PARTS = frozenset(('tests', 'test', '__pycache__', '_testcapi'))
 #: A marshal version without references; its output depends on the code only.
 _MARSHAL_VERSION = 2
 #: Flags of hash-based, unchecked pyc files (PEP 552).
-_UNCHECKED = b'\1\0\0\0'
+_UNCHECKED_PYC_FLAGS = b'\1\0\0\0'
 
 
-def closure(name: str, known: set[str] | None = None) -> set[str]:
+def required_distributions(
+    name: str, known: set[str] | None = None
+) -> set[str]:
     """Return the names of a distribution and its transitive requirements."""
     known = set() if known is None else known
     normalized = name.lower().replace('_', '-')
@@ -47,9 +49,9 @@
     for line in metadata.requires(name) or ():
         requirement, _semicolon, marker = line.partition(';')
         if _applies(marker):
-            match = _NAME.match(requirement.strip())
+            match = _NAME_PATTERN.match(requirement.strip())
             assert match is not None
-            closure(match.group(), known)
+            required_distributions(match.group(), known)
     return known
 
 
@@ -65,7 +67,7 @@
 def _files() -> Iterator[tuple[str, bytes]]:
     for path in sorted((_ROOT / 'siskinbank').rglob('*.py')):
         yield str(path.relative_to(_ROOT)), path.read_bytes()
-    for name in sorted(closure('siskinbank') - {'siskinbank'}):
+    for name in sorted(required_distributions('siskinbank') - {'siskinbank'}):
         distribution = metadata.distribution(name)
         for file in sorted(distribution.files or (), key=str):
             if _is_included(file):
@@ -77,21 +79,21 @@
     if '..' in parts or parts & _EXCLUDED_PARTS:
         return False
     if file.parts[0].endswith('.dist-info'):
-        return file.name in _METADATA
+        return file.name in _METADATA_FILES
     return file.suffix in {'.py', '.so'}
 
 
 def _member(name: str, content: bytes) -> tuple[str, bytes]:
     """Return the name and content of a file in the archive."""
     if name.endswith('.so'):
-        module = _SUFFIX.sub('', name).replace('/', '.')
+        module = _EXTENSION_SUFFIX.sub('', name).replace('/', '.')
         return f'_extensions/{module}', content
     if not name.endswith('.py'):
         return name, content
     code = _Compiler('', '').source_to_code(content, name)
     digest = util.source_hash(content)
-    head = util.MAGIC_NUMBER + _UNCHECKED + digest
-    return f'{name}c', head + marshal.dumps(code, _MARSHAL_VERSION)
+    header = util.MAGIC_NUMBER + _UNCHECKED_PYC_FLAGS + digest
+    return f'{name}c', header + marshal.dumps(code, _MARSHAL_VERSION)
 
 
 def build() -> bytes:
@@ -103,9 +105,9 @@
     with zipfile.ZipFile(output, 'a', zipfile.ZIP_DEFLATED) as archive:
         for name, content in sorted(files.items()):
             member, packed = _member(name, content)
-            info = zipfile.ZipInfo(member, _DATE)
+            info = zipfile.ZipInfo(member, _MEMBER_DATE)
             info.compress_type = zipfile.ZIP_DEFLATED
-            info.external_attr = _MODE << 16
+            info.external_attr = _MEMBER_MODE << 16
             archive.writestr(info, packed)
     return output.getvalue()
 
@@ -115,7 +117,7 @@
     target = Path(sys.argv[1])
     target.parent.mkdir(parents=True, exist_ok=True)
     target.write_bytes(build())
-    target.chmod(_EXECUTABLE)
+    target.chmod(_EXECUTABLE_MODE)
 
 
 if __name__ == '__main__':
--- a/tools/start_cost.py
+++ b/tools/start_cost.py
@@ -1,12 +1,13 @@
-"""Measure the start of a lean program in total and by imported module.
+"""Measure the start of an entry or sidecar in total and by imported module.
 
     .venv/bin/python tools/start_cost.py [entry | sidecar]
 
-Prints the processor time of the bare interpreter and of the program with its
-modules loaded, the time from the start of the program to the first request
+The entry and the sidecar are those of siskinbank.relay for the users' platform.
+Prints the processor time of the bare interpreter and of the process with its
+modules loaded, the time from the start of the process to the first request
 that it serves (with stand-ins on loopback), and the import time of each
-module, in descending order. For a machine of the users' platform with a
-fraction of a core, divide by the fraction.
+module, in descending order. If a machine of the users' platform provides
+only a fraction of a core, divide the times by the fraction.
 """
 
 import asyncio
@@ -29,8 +30,8 @@
 _ROOT = Path(__file__).resolve().parent.parent
 # The minimum of several runs excludes the effect of other processes.
 _ROUNDS = 9
-_MS = 1000
-_FIELDS = 3
+_MS_PER_SECOND = 1000
+_FIELDS_PER_LINE = 3
 
 
 @dataclass(frozen=True, slots=True)
@@ -42,14 +43,14 @@
 
 
 def command(code: str, *options: str) -> list[str]:
-    """Return the command that runs code as the lean programs do.
+    """Return the command that runs code as the relay's processes do.
 
     Args:
         code: the Python code to run.
         options: additional interpreter options.
     """
-    path = f'import sys; sys.path.insert(0, {str(_ROOT)!r}); {code}'
-    return [sys.executable, '-S', '-E', *options, '-c', path]
+    program = f'import sys; sys.path.insert(0, {str(_ROOT)!r}); {code}'
+    return [sys.executable, '-S', '-E', *options, '-c', program]
 
 
 def processor_time_s(code: str) -> float:
@@ -58,7 +59,7 @@
     Args:
         code: the Python code to run.
     """
-    return min(_cost_once(code) for _ in range(_ROUNDS))
+    return min(_measure_once_s(code) for _ in range(_ROUNDS))
 
 
 def parse_import_times(report: str) -> list[ImportTime]:
@@ -70,13 +71,13 @@
     import_times = []
     for line in report.splitlines():
         fields = line.removeprefix('import time:').split('|')
-        if len(fields) == _FIELDS and fields[0].strip().isdigit():
+        if len(fields) == _FIELDS_PER_LINE and fields[0].strip().isdigit():
             import_times.append(ImportTime(fields[2].strip(), int(fields[0])))
     return sorted(import_times, key=lambda module: module.self_us, reverse=True)
 
 
 async def time_to_first_request_s(role: str) -> float:
-    """Restart a program in a small fleet and measure until it serves again.
+    """Restart a process in a small fleet and measure until it serves again.
 
     Args:
         role: ``entry`` or ``sidecar``.
@@ -101,7 +102,7 @@
             await fleet.close()
 
 
-def _cost_once(code: str) -> float:
+def _measure_once_s(code: str) -> float:
     before = os.times()
     subprocess.run(command(code), check=True)
     after = os.times()
@@ -119,11 +120,13 @@
     )
     bare = processor_time_s('pass')
     total = processor_time_s(code)
-    lines = [f'bare interpreter {bare * _MS:.1f} ms']
-    beyond_ms = (total - bare) * _MS
+    lines = [f'bare interpreter {bare * _MS_PER_SECOND:.1f} ms']
+    beyond_ms = (total - bare) * _MS_PER_SECOND
     lines.append(f'{role} beyond it {beyond_ms:.1f} ms')
     serving_s = asyncio.run(time_to_first_request_s(role))
-    lines.append(f'{serving_s * _MS:.0f} ms from its start to a request')
+    lines.append(
+        f'{serving_s * _MS_PER_SECOND:.0f} ms from its start to a request'
+    )
     for module in parse_import_times(run.stderr):
         lines.append(f'{module.self_us:7} us {module.name}')
     return '\n'.join(lines) + '\n'
