--- a/siskinbank/lab/commands/bare_forwarder.py
+++ b/siskinbank/lab/commands/bare_forwarder.py
@@ -1,4 +1,4 @@
-"""``siskinbank lab bare-forwarder``: the naive side of ``lab forwarding``."""
+"""``siskinbank lab bare-forwarder``: the baseline of ``lab forwarding``."""
 
 import asyncio
 
@@ -13,10 +13,14 @@
 
 
 @click.command('bare-forwarder')
-@click.option('--bind', type=ADDRESS, required=True, help='Where to receive.')
-@click.option('--to', type=ADDRESS, required=True, help='Where to send.')
+@click.option(
+    '--bind', type=ADDRESS, required=True, help='Address to receive at.'
+)
+@click.option(
+    '--to', type=ADDRESS, required=True, help='Address to forward to.'
+)
 def command(bind: Address, to: Address) -> None:
-    """Send each datagram on as it is, for comparison with an entry."""
+    """Forward each datagram unchanged, for comparison with an entry."""
 
     async def serve() -> None:
         transport: asyncio.DatagramTransport
--- a/siskinbank/lab/commands/callers.py
+++ b/siskinbank/lab/commands/callers.py
@@ -1,4 +1,4 @@
-"""``siskinbank lab callers``: run the callers of the demo."""
+"""``siskinbank lab callers``: run the callers of demo and soak."""
 
 import asyncio
 import dataclasses
@@ -21,16 +21,20 @@
 
 _TICK_SECONDS = 0.05
 _LONG_FLOWS = 40
-_CONNECTIONS_AN_ENTRY = 3
-_SHORT_FLOW_SECONDS = 3
-_TICKS_A_FLOW = 2
-_TICKS_A_BURST = 40
-_DRAIN_SECONDS = 12
+_CONNECTIONS_PER_ENTRY = 3
+_MAX_SHORT_FLOW_SECONDS = 3
+_TICKS_PER_FLOW = 2
+_TICKS_PER_BURST = 40
+_DRAIN_TIMEOUT_SECONDS = 12
 
 
 @click.command('callers')
-@click.option('--bind', type=ADDRESS, required=True, help='For packet answers.')
-@click.option('--fabric', type=ADDRESS, required=True, help='The fabric.')
+@click.option(
+    '--bind', type=ADDRESS, required=True, help='Address for packet answers.'
+)
+@click.option(
+    '--fabric', type=ADDRESS, required=True, help='Address of the fabric.'
+)
 @click.option('--sprayed', multiple=True, help='IP:PORT of a packet service.')
 @click.option('--tcp', multiple=True, help='IP:PORT of a tcp ingress.')
 @click.option('--http', multiple=True, help='URL of an http ingress.')
@@ -48,7 +52,7 @@
     type=int,
     default=0,
     show_default=True,
-    help='Requests that are sent at once, every two seconds.',
+    help='Number of requests to send at once every two seconds.',
 )
 def command(
     bind: Address,
@@ -61,8 +65,8 @@
     resent: float,
     burst: int,
 ) -> None:
-    """Keep up a load for a while and print what the callers saw, as JSON."""
-    load = _Load(
+    """Generate load for a time and print the callers' reports as JSON."""
+    load = _LoadGenerator(
         PacketCallers(fabric, seed),
         ConnectionCallers(),
         RequestCallers(list(http), seed, resent),
@@ -75,7 +79,7 @@
     click.echo(json.dumps(load.report()))
 
 
-class _Load:
+class _LoadGenerator:
     def __init__(
         self,
         packets: PacketCallers,
@@ -102,10 +106,10 @@
         for number in range(_LONG_FLOWS):
             service = services[number % len(services)]
             self._start(self._packets.run_flow(service, seconds))
-        for entry in entries * _CONNECTIONS_AN_ENTRY:
+        for entry in entries * _CONNECTIONS_PER_ENTRY:
             self._start(self._connections.run_flow(entry, seconds))
-        await self._keep_up(services, seconds)
-        await asyncio.wait(self._tasks, timeout=_DRAIN_SECONDS)
+        await self._generate(services, seconds)
+        await asyncio.wait(self._tasks, timeout=_DRAIN_TIMEOUT_SECONDS)
         await self._requests.close()
 
     def report(self) -> dict[str, Any]:
@@ -118,17 +122,17 @@
             ],
         }
 
-    async def _keep_up(self, services: list[Address], seconds: float) -> None:
+    async def _generate(self, services: list[Address], seconds: float) -> None:
         until = time.monotonic() + seconds
         tick = 0
         while time.monotonic() < until:
             tick += 1
-            bursts = self._burst and tick % _TICKS_A_BURST == 0
-            for _ in range(self._burst if bursts else 1):
+            is_burst = self._burst and tick % _TICKS_PER_BURST == 0
+            for _ in range(self._burst if is_burst else 1):
                 self._start(self._requests.run_request())
-            if tick % _TICKS_A_FLOW == 0:
+            if tick % _TICKS_PER_FLOW == 0:
                 service = self._rng.choice(services)
-                length = self._rng.uniform(0, _SHORT_FLOW_SECONDS)
+                length = self._rng.uniform(0, _MAX_SHORT_FLOW_SECONDS)
                 self._start(self._packets.run_flow(service, length))
             await asyncio.sleep(_TICK_SECONDS)
 
--- a/siskinbank/lab/commands/cold.py
+++ b/siskinbank/lab/commands/cold.py
@@ -1,4 +1,4 @@
-"""``siskinbank lab cold``: what cold upstreams get."""
+"""``siskinbank lab cold``: load on cold upstreams."""
 
 import click
 
@@ -9,14 +9,14 @@
 
 command = make_command(
     'cold',
-    'Measure what cold upstreams get above what they bear.',
+    'Measure the load on cold upstreams beyond their limit.',
     measure_cold,
     [
         click.Option(
             ['--entries'],
             type=click.IntRange(0, 1000),
             default=0,
-            help='Entries that start at once; 0 measures 3 and 400.',
+            help='Entries that start together; 0 measures 3 and 400.',
         ),
         click.Option(
             ['--hosts'],
@@ -29,7 +29,7 @@
             type=click.IntRange(10, 200),
             default=100,
             show_default=True,
-            help='Flows that are open at a time for each host.',
+            help='Flows open at a time for each host.',
         ),
     ],
 )
--- a/siskinbank/lab/commands/configuration.py
+++ b/siskinbank/lab/commands/configuration.py
@@ -9,7 +9,7 @@
 
 command = make_command(
     'configuration',
-    'Measure how configuration comes into force, and never goes back.',
+    'Measure how fast a configuration comes into force, and reverts.',
     measure_configuration,
     [
         click.Option(
--- a/siskinbank/lab/commands/control.py
+++ b/siskinbank/lab/commands/control.py
@@ -1,4 +1,4 @@
-"""``siskinbank lab control``: what control costs each process."""
+"""``siskinbank lab control``: control plane cost of each process."""
 
 import click
 
@@ -11,7 +11,7 @@
 
 command = make_command(
     'control',
-    'Measure bytes, processor time and memory that control takes.',
+    'Measure bytes, processor time and memory of the control plane.',
     measure_control,
     [
         click.Option(
--- a/siskinbank/lab/commands/cost.py
+++ b/siskinbank/lab/commands/cost.py
@@ -1,4 +1,4 @@
-"""``siskinbank lab cost``: what one packet and one flow cost."""
+"""``siskinbank lab cost``: cost of one packet and of one flow."""
 
 from siskinbank.lab.cost import measure_cost
 from siskinbank.lab.experiment import make_command
@@ -7,6 +7,6 @@
 
 command = make_command(
     'cost',
-    'Time decisions, weigh the state of flows, count control traffic.',
+    'Time decisions, measure the state of flows and count control traffic.',
     measure_cost,
 )
--- a/siskinbank/lab/commands/data_centre.py
+++ b/siskinbank/lab/commands/data_centre.py
@@ -1,4 +1,4 @@
-"""``siskinbank lab data-centre``: a data centre out and back."""
+"""``siskinbank lab data-centre``: evacuation of a data centre."""
 
 import click
 
@@ -29,7 +29,7 @@
             type=click.IntRange(5, 55),
             default=30,
             show_default=True,
-            help='Flows that are open at a time for each host.',
+            help='Flows open at a time for each host.',
         ),
     ],
 )
--- a/siskinbank/lab/commands/demo.py
+++ b/siskinbank/lab/commands/demo.py
@@ -1,4 +1,4 @@
-"""``siskinbank lab demo``: the whole path under failure, on loopback."""
+"""``siskinbank lab demo``: a fleet under failures, on loopback."""
 
 import asyncio
 
@@ -8,33 +8,33 @@
 
 __all__ = ('command',)
 
-_LIMIT_SECONDS = 80
+_TIMEOUT_SECONDS = 80
 
 
 @click.command('demo')
 def command() -> int:
-    """Run a small fleet under load while parts of it fail or leave.
+    """Run a small fleet under load with failures and planned changes.
 
-    An entry is killed, an upstream drains, a data centre goes out of service
-    and comes back. Exits with 0 only if what must hold has held.
+    Kills an entry, drains an upstream, and takes a data centre out of service
+    and back. Exits with 0 only if all invariants held.
     """
 
     async def run() -> int:
-        async with asyncio.timeout(_LIMIT_SECONDS):
+        async with asyncio.timeout(_TIMEOUT_SECONDS):
             result = await run_demo(click.echo)
         click.echo(
-            f'flows given up with their data centre: {result.given_up}; '
-            f'plain connections lost with the killed entry: '
+            f'flows lost with their data centre: {result.lost_with_data_centre}; '
+            f'tcp connections lost with the killed entry: '
             f'{result.lost_with_entry}; flows refused: '
             f'{result.refused_flows}',
         )
-        for problem in (*result.broken, *result.untrue):
-            click.echo(f'must not happen: {problem}', err=True)
+        for problem in (*result.broken, *result.wrong_outcomes):
+            click.echo(f'violation: {problem}', err=True)
         click.echo(result.line())
         return 0 if result.holds else 1
 
     try:
         return asyncio.run(run())
     except TimeoutError:
-        click.echo('demo: did not end in time', err=True)
+        click.echo('demo: not finished in time', err=True)
         return 1
--- a/siskinbank/lab/commands/fabric.py
+++ b/siskinbank/lab/commands/fabric.py
@@ -13,7 +13,9 @@
 
 
 @click.command('fabric')
-@click.option('--bind', type=ADDRESS, required=True, help='Where to serve.')
+@click.option(
+    '--bind', type=ADDRESS, required=True, help='Address to serve at.'
+)
 @click.option('--platform', required=True, help='URL of the platform.')
 @click.option('--seed', type=int, default=1, show_default=True)
 @click.argument('entries', nargs=-1, required=True)
@@ -23,7 +25,7 @@
     seed: int,
     entries: tuple[str, ...],
 ) -> None:
-    """Spray packets over ENTRIES (NAME=IP:PORT), for trials on loopback."""
+    """Spray packets over ENTRIES (NAME=IP:PORT), for tests on loopback."""
     addresses = {}
     for entry in entries:
         name, _equals, address = entry.partition('=')
--- a/siskinbank/lab/commands/fairness.py
+++ b/siskinbank/lab/commands/fairness.py
@@ -1,4 +1,4 @@
-"""``siskinbank lab fairness``: how evenly a pool is loaded."""
+"""``siskinbank lab fairness``: distribution of load over a pool."""
 
 import click
 
@@ -9,7 +9,7 @@
 
 command = make_command(
     'fairness',
-    'Measure the busiest host against the mean, beside naive choices.',
+    'Compare the busiest host against the mean, beside naive choices.',
     measure_fairness,
     [
         click.Option(
@@ -29,7 +29,7 @@
             type=click.IntRange(10, 2000),
             default=100,
             show_default=True,
-            help='Flows that are open at a time for each host.',
+            help='Flows open at a time for each host.',
         ),
     ],
 )
--- a/siskinbank/lab/commands/flows.py
+++ b/siskinbank/lab/commands/flows.py
@@ -1,4 +1,4 @@
-"""``siskinbank lab flows``: flows through planned changes and a death."""
+"""``siskinbank lab flows``: flows during planned changes and a failure."""
 
 import click
 
@@ -9,7 +9,7 @@
 
 command = make_command(
     'flows',
-    'Keep flows open while hosts, entries and sidecars change.',
+    'Measure broken flows while hosts, entries and sidecars change.',
     measure_flows,
     [
         click.Option(
--- a/siskinbank/lab/commands/forwarding.py
+++ b/siskinbank/lab/commands/forwarding.py
@@ -1,4 +1,4 @@
-"""``siskinbank lab forwarding``: packets a second of one entry."""
+"""``siskinbank lab forwarding``: packets per second of one entry."""
 
 import click
 
@@ -9,7 +9,7 @@
 
 command = make_command(
     'forwarding',
-    'Measure an entry with keyed datagrams against a bare forwarder.',
+    'Compare an entry with keyed datagrams against a bare forwarder.',
     measure_forwarding,
     [
         click.Option(
--- a/siskinbank/lab/commands/key_cost.py
+++ b/siskinbank/lab/commands/key_cost.py
@@ -1,4 +1,4 @@
-"""``siskinbank lab key-cost``: with keys and TLS, and without."""
+"""``siskinbank lab key-cost``: cost of keys and TLS."""
 
 import click
 
@@ -9,7 +9,7 @@
 
 command = make_command(
     'key-cost',
-    'Measure packets and streams with keys and without, in one run.',
+    'Measure packets and streams with and without keys, in one run.',
     measure_key_cost,
     [click.Option(['--rounds'], type=int, default=5, show_default=True)],
 )
--- a/siskinbank/lab/commands/membership.py
+++ b/siskinbank/lab/commands/membership.py
@@ -1,4 +1,4 @@
-"""``siskinbank lab membership``: lists, silence and pauses."""
+"""``siskinbank lab membership``: wrong lists, failures and pauses."""
 
 import click
 
@@ -9,7 +9,7 @@
 
 command = make_command(
     'membership',
-    'Measure what lying lists, pauses and partitions lead to.',
+    'Measure membership under wrong lists, pauses and partitions.',
     measure_membership,
     [
         click.Option(
--- a/siskinbank/lab/commands/overload.py
+++ b/siskinbank/lab/commands/overload.py
@@ -9,7 +9,7 @@
 
 command = make_command(
     'overload',
-    'Measure answers in time at three times what the upstreams can do.',
+    'Measure answers in time at three times the upstream capacity.',
     measure_overload,
     [
         click.Option(
--- a/siskinbank/lab/commands/platform.py
+++ b/siskinbank/lab/commands/platform.py
@@ -12,9 +12,11 @@
 
 
 @click.command('platform')
-@click.option('--bind', type=ADDRESS, required=True, help='Where to serve.')
+@click.option(
+    '--bind', type=ADDRESS, required=True, help='Address to serve at.'
+)
 def command(bind: tuple[str, int]) -> None:
-    """Run a stand-in of the platform, for trials on loopback."""
+    """Run a stand-in for the platform, for tests on loopback."""
     asyncio.run(_serve(bind))
 
 
--- a/siskinbank/lab/commands/report.py
+++ b/siskinbank/lab/commands/report.py
@@ -13,16 +13,16 @@
 
 
 def experiments() -> dict[str, ExperimentCommand]:
-    """Return all experiments by name."""
+    """Return the commands of all experiments by name."""
     names = [module.name for module in pkgutil.iter_modules(commands.__path__)]
     loaded = [
         importlib.import_module(f'{commands.__name__}.{name}').command
         for name in sorted(names)
     ]
     return {
-        str(known.name): known
-        for known in loaded
-        if isinstance(known, ExperimentCommand)
+        str(loaded_command.name): loaded_command
+        for loaded_command in loaded
+        if isinstance(loaded_command, ExperimentCommand)
     }
 
 
@@ -34,41 +34,43 @@
     show_default=True,
 )
 @click.option('--seed', type=int, default=1, show_default=True)
-@click.option('--only', multiple=True, help='An experiment; all if none.')
+@click.option(
+    '--only', multiple=True, help='Name of an experiment; default: all.'
+)
 def command(output: str, seed: int, only: tuple[str, ...]) -> int:
-    """Run the experiments and write one HTML page with pictures.
+    """Run the experiments and write one HTML page with plots.
 
-    Needs matplotlib, which the extra `siskinbank[report]` installs. Exits
-    with 1 where a bound does not hold or an experiment cannot be run.
+    Requires matplotlib, which the extra `siskinbank[report]` installs. Exits
+    with 1 if a bound does not hold or an experiment cannot be run.
     """
     try:
         from siskinbank.lab.report import write_page
     except ImportError as error:
         raise click.ClickException(f'{error}; install siskinbank[report]')
-    reports, failed = _run(_choose(only), seed)
+    reports, failed = _run(_select(only), seed)
     Path(output).write_text(write_page(reports, failed), encoding='utf-8')
     click.echo(f'{len(reports)} experiments in {output}')
     holds = all(report.holds for report in reports)
     return 0 if reports and holds and not failed else 1
 
 
-def _choose(only: tuple[str, ...]) -> dict[str, ExperimentCommand]:
-    known = experiments()
-    unknown = set(only) - known.keys()
+def _select(only: tuple[str, ...]) -> dict[str, ExperimentCommand]:
+    available = experiments()
+    unknown = set(only) - available.keys()
     if unknown:
         names = ', '.join(sorted(unknown))
         raise click.UsageError(f'no such experiment: {names}')
-    return {name: known[name] for name in only or known}
+    return {name: available[name] for name in only or available}
 
 
 def _run(
-    chosen: dict[str, ExperimentCommand],
+    selected: dict[str, ExperimentCommand],
     seed: int,
 ) -> tuple[list[ExperimentReport], dict[str, str]]:
-    """Return the reports, and the errors of what could not be run."""
+    """Return the reports, and the errors of experiments that did not run."""
     reports: list[ExperimentReport] = []
     failed: dict[str, str] = {}
-    for name, experiment in chosen.items():
+    for name, experiment in selected.items():
         click.echo(f'{name} ...', err=True)
         try:
             reports.append(experiment.run_default(seed))
--- a/siskinbank/lab/commands/requests.py
+++ b/siskinbank/lab/commands/requests.py
@@ -9,7 +9,7 @@
 
 command = make_command(
     'requests',
-    'Measure runs for each key, refusals and answers while things fail.',
+    'Measure runs per key, refusals and answers under faults.',
     measure_requests,
     [
         click.Option(
--- a/siskinbank/lab/commands/upstream.py
+++ b/siskinbank/lab/commands/upstream.py
@@ -12,14 +12,18 @@
 
 
 @click.command('upstream')
-@click.option('--name', required=True, help='Name that answers carry.')
+@click.option('--name', required=True, help='Name to put into answers.')
 @click.option('--packets', type=ADDRESS, help='Address for IP-in-UDP.')
 @click.option('--tcp', type=ADDRESS, help='Address for connections.')
 @click.option('--http', type=ADDRESS, help='Address for requests.')
-@click.option('--callers', type=ADDRESS, help='Where packet answers go.')
+@click.option(
+    '--callers', type=ADDRESS, help='Address to send packet answers to.'
+)
 @click.option('--slots', type=int, default=3, show_default=True)
-@click.option('--cold-slots', type=int, help='Slots at first; all if unset.')
-@click.option('--warm-up', type=float, default=0, help='Seconds to all slots.')
+@click.option('--cold-slots', type=int, help='Slots when cold; default: all.')
+@click.option(
+    '--warm-up', type=float, default=0, help='Seconds until all slots.'
+)
 def command(
     name: str,
     packets: Address | None,
@@ -30,7 +34,7 @@
     cold_slots: int | None,
     warm_up: float,
 ) -> None:
-    """Run a stand-in of an upstream, for trials on loopback."""
+    """Run a stand-in for an upstream, for tests on loopback."""
 
     async def serve() -> None:
         cold = ColdStart(cold_slots or slots, warm_up)
--- a/siskinbank/lab/configuration.py
+++ b/siskinbank/lab/configuration.py
@@ -1,4 +1,4 @@
-"""Measure how a configuration comes into force everywhere, and stays."""
+"""Measure how fast a configuration comes into force, and reverts."""
 
 import random
 from dataclasses import dataclass, field
@@ -10,31 +10,36 @@
 
 __all__ = ('measure_configuration',)
 
-#: Stated targets: seconds to be in force everywhere, reads a second.
+#: Targets: seconds until in force in all processes, reads per second.
 _MAX_SECONDS = 11
-_MAX_READS = 2000
+_MAX_READS_PER_SECOND = 2000
 _STEP_SECONDS = 0.25
-_LIMIT_SECONDS = 30
-_LOSS = 0.02
+_TIMEOUT_SECONDS = 30
+_LOSS_SHARE = 0.02
 _PAUSED_SHARE = 0.02
 _FAULT_SECONDS = 4
 _RESTARTED_SHARE = 0.1
 _SETTLE_SECONDS = 6
 _NAIVE_POLL_SECONDS = 1
-_READ_SIZES = (10, 30, 100, 300)
+_READ_FLEET_SIZES = (10, 30, 100, 300)
 
 
 def measure_configuration(seed: int, processes: int) -> ExperimentReport:
-    """Publish, publish under faults, restart while the service is stale."""
+    """Measure publications with and without faults, restarts and reads.
+
+    Args:
+        seed: seed of the simulation.
+        processes: number of simulated processes.
+    """
     fleet = VirtualFleet(processes, seed)
     fleet.start()
     figures: dict[str, Any] = {'processes': processes}
-    figures['seconds_in_force'] = _in_force(fleet)
-    figures['seconds_under_faults'] = _under_faults(fleet)
-    figures.update(_restarts_while_stale(fleet))
-    figures.update(_conflict(fleet))
-    figures.update(_reads(processes, fleet, seed))
-    naive = _naive(processes, seed)
+    figures['seconds_in_force'] = _publish_without_faults(fleet)
+    figures['seconds_under_faults'] = _publish_under_faults(fleet)
+    figures.update(_restart_while_stale(fleet))
+    figures.update(_publish_conflict(fleet))
+    figures.update(_measure_reads(processes, fleet, seed))
+    naive = _simulate_naive(processes, seed)
     return ExperimentReport(
         'configuration',
         seed,
@@ -53,10 +58,14 @@
             ),
             at_most('reverts', 0, figures['reverts']),
             at_most('documents in force at the end', 1, figures['documents']),
-            at_most('reads a second', _MAX_READS, figures['reads_a_second']),
+            at_most(
+                'reads a second',
+                _MAX_READS_PER_SECOND,
+                figures['reads_a_second'],
+            ),
             at_most(
                 'reads a second, service down',
-                _MAX_READS,
+                _MAX_READS_PER_SECOND,
                 figures['reads_a_second_down'],
             ),
             at_most(
@@ -68,10 +77,10 @@
     )
 
 
-def _wait(fleet: VirtualFleet, generation: int) -> float:
-    """Return the seconds until a generation is in force everywhere."""
+def _wait_until_in_force(fleet: VirtualFleet, generation: int) -> float:
+    """Return the seconds until a generation is in force in all processes."""
     start = fleet.clock.now
-    while fleet.clock.now - start < _LIMIT_SECONDS:
+    while fleet.clock.now - start < _TIMEOUT_SECONDS:
         fleet.run(_STEP_SECONDS)
         if all(node.generation >= generation for node in fleet.alive):
             latest = max(node.adopted[-1][0] for node in fleet.alive)
@@ -79,14 +88,14 @@
     return float('inf')
 
 
-def _in_force(fleet: VirtualFleet) -> float:
+def _publish_without_faults(fleet: VirtualFleet) -> float:
     fleet.publish(1)
-    return _wait(fleet, fleet.generation)
+    return _wait_until_in_force(fleet, fleet.generation)
 
 
-def _under_faults(fleet: VirtualFleet) -> float:
-    """Publish while datagrams are lost, some pause, and regions are apart."""
-    fleet.network.loss = _LOSS
+def _publish_under_faults(fleet: VirtualFleet) -> float:
+    """Publish during packet loss, paused processes and a region partition."""
+    fleet.network.loss = _LOSS_SHARE
     count = max(int(len(fleet.nodes) * _PAUSED_SHARE), 1)
     paused = fleet.rng.sample(fleet.alive, count)
     for node in paused:
@@ -96,52 +105,62 @@
     fleet.platform.only_region = 'north'
     fleet.network.after(_FAULT_SECONDS, fleet.heal)
     fleet.publish(2)
-    seconds = _wait(fleet, fleet.generation)
+    seconds = _wait_until_in_force(fleet, fleet.generation)
     fleet.network.loss = 0
     return seconds
 
 
-def _restarts_while_stale(fleet: VirtualFleet) -> dict[str, Any]:
-    """Restart some, a data centre and all entries; the service is stale."""
-    now = fleet.generation
+def _restart_while_stale(fleet: VirtualFleet) -> dict[str, Any]:
+    """Restart processes while the platform serves a stale document.
+
+    Restarts a random share, one data centre and all entries.
+    """
+    latest_generation = fleet.generation
     fleet.platform.go_back()
     names = fleet.rng.sample(
         list(fleet.nodes),
         max(int(len(fleet.nodes) * _RESTARTED_SHARE), 1),
     )
-    centre = fleet.instances[0].data_centre
+    data_centre = fleet.instances[0].data_centre
     for instance in fleet.instances:
-        if instance.role.value == 'entry' or instance.data_centre == centre:
+        if (
+            instance.role.value == 'entry'
+            or instance.data_centre == data_centre
+        ):
             names.append(instance.name)
     restarted = [fleet.restart(name) for name in sorted(set(names))]
     fleet.run(_SETTLE_SECONDS)
     generations = [
         generation for node in restarted for _at, generation in node.adopted
     ]
-    lower = sum(generation < now for generation in generations)
-    waiting = sum(not node.adopted for node in restarted)
+    older_count = sum(
+        generation < latest_generation for generation in generations
+    )
+    unconfigured_count = sum(not node.adopted for node in restarted)
     fleet.platform.catch_up()
     return {
         'restarted_while_stale': len(restarted),
-        'reverts': lower + _own_reverts(fleet),
-        'without_configuration_after_restart': waiting,
+        'reverts': older_count + _count_reverts(fleet),
+        'without_configuration_after_restart': unconfigured_count,
     }
 
 
-def _own_reverts(fleet: VirtualFleet) -> int:
-    """Count the times that a process itself went back."""
+def _count_reverts(fleet: VirtualFleet) -> int:
+    """Count how often a process returned to an older generation."""
     reverts = 0
     for node in (*fleet.alive, *fleet.left):
-        taken = [generation for _at, generation in node.adopted]
+        generations = [generation for _at, generation in node.adopted]
         reverts += sum(
             later < earlier
-            for earlier, later in zip(taken, taken[1:], strict=False)
+            for earlier, later in zip(
+                generations, generations[1:], strict=False
+            )
         )
     return reverts
 
 
-def _conflict(fleet: VirtualFleet) -> dict[str, Any]:
-    """Publish two documents under one number, one to each region."""
+def _publish_conflict(fleet: VirtualFleet) -> dict[str, Any]:
+    """Publish two documents of one generation, one to each region."""
     fleet.publish_conflict()
     fleet.run(_SETTLE_SECONDS)
     keys = {node.gossip.store.in_force for node in fleet.alive}
@@ -149,19 +168,19 @@
     return {'documents': len(keys), 'conflicts_counted': counted}
 
 
-def _reads(size: int, fleet: VirtualFleet, seed: int) -> dict[str, Any]:
-    """Measure reads a second by fleet size, and with the service down."""
+def _measure_reads(size: int, fleet: VirtualFleet, seed: int) -> dict[str, Any]:
+    """Measure reads per second by fleet size and with the platform down."""
     rates: dict[int, float] = {}
-    for smaller in _READ_SIZES:
+    for smaller in _READ_FLEET_SIZES:
         if smaller < size:
             other = VirtualFleet(smaller, seed)
             other.start()
-            rates[smaller] = _idle_reads(other)
-    rates[size] = _idle_reads(fleet)
+            rates[smaller] = _measure_idle_reads(other)
+    rates[size] = _measure_idle_reads(fleet)
     fleet.platform.down = True
     start = fleet.clock.now
     fleet.run(_SETTLE_SECONDS * 2)
-    down = max(
+    reads_while_down = max(
         fleet.platform.calls[second]
         for second in range(int(start), int(fleet.clock.now))
     )
@@ -169,12 +188,12 @@
     return {
         'reads_a_second_by_size': rates,
         'reads_a_second': max(rates.values()),
-        'reads_a_second_down': down,
+        'reads_a_second_down': reads_while_down,
         'read_slope': (rates[most] / most) / (rates[fewest] / fewest),
     }
 
 
-def _idle_reads(fleet: VirtualFleet) -> float:
+def _measure_idle_reads(fleet: VirtualFleet) -> float:
     start = fleet.clock.now
     fleet.run(_SETTLE_SECONDS)
     return fleet.platform.rate(start, fleet.clock.now)
@@ -187,27 +206,33 @@
     taken: list[int] = field(default_factory=list)
 
 
-def _naive(processes: int, seed: int) -> dict[str, Any]:
-    """Let everyone poll; the service answers up to its limit each second."""
+def _simulate_naive(processes: int, seed: int) -> dict[str, Any]:
+    """Simulate a fleet in which each process polls the platform.
+
+    The platform answers up to its limit of reads each second.
+    """
     rng = random.Random(seed)
     pollers = [_Poller(rng.random()) for _ in range(processes)]
     reads = 0
-    late: float = 0
+    last_at: float = 0
     for second in range(_MAX_SECONDS):
         order = rng.sample(pollers, len(pollers))
         reads = max(reads, len(order) * 2)
-        # Each poll reads the manifest and the list; the rest is turned away.
-        for poller in order[: _MAX_READS // 2]:
+        # Each poll reads the manifest and the list; reads over the limit are
+        # refused.
+        for poller in order[: _MAX_READS_PER_SECOND // 2]:
             if poller.generation < 2:
                 poller.generation = 2
-                late = max(late, second + poller.due * _NAIVE_POLL_SECONDS)
+                last_at = max(
+                    last_at, second + poller.due * _NAIVE_POLL_SECONDS
+                )
     behind = sum(one.generation < 2 for one in pollers)
     restarted = rng.sample(pollers, int(processes * _RESTARTED_SHARE))
-    for taken in restarted:
-        # A restarted poller takes what the stale service says.
-        taken.generation = 1
+    for restarted_poller in restarted:
+        # A restarted poller adopts the document of the stale platform.
+        restarted_poller.generation = 1
     return {
-        'seconds_in_force': float('inf') if behind else late,
+        'seconds_in_force': float('inf') if behind else last_at,
         'reads_a_second': reads,
         'reverts': sum(one.generation < 2 for one in restarted),
     }
--- a/siskinbank/lab/control.py
+++ b/siskinbank/lab/control.py
@@ -1,4 +1,4 @@
-"""Measure what control costs a process: bytes, processor time, memory."""
+"""Measure control plane cost of a process: bytes, processor time, memory."""
 
 import asyncio
 import gc
@@ -17,19 +17,19 @@
 
 __all__ = ('measure_control',)
 
-#: Stated targets for each process.
-_MAX_BYTES = 28_000
+#: Targets for each process: bytes per second, share of a core, KiB.
+_MAX_BYTES_PER_SECOND = 28_000
 _MAX_CORE_SHARE = 0.01
 _MAX_KILOBYTES = 32 * 1024
 _CHANGES_A_DAY = 260
-_DAY_SECONDS = 86_400
-_MILLISECONDS = 1000
+_SECONDS_PER_DAY = 86_400
+_MILLISECONDS_PER_SECOND = 1000
 _IDLE_SECONDS = 4
 _CHANGES = 4
-_APART_SECONDS = 2
+_CHANGE_INTERVAL_SECONDS = 2
 _WORST_SECONDS = 8
-_SIZES = (30, 60, 120)
-_STATE_SIZES = (100, 400, 1600, 3610)
+_FLEET_SIZES = (30, 60, 120)
+_STATE_FLEET_SIZES = (100, 400, 1600, 3610)
 #: IP and UDP headers of one datagram.
 _HEADER_BYTES = 28
 
@@ -39,71 +39,84 @@
     processes: int,
     real: int,
 ) -> ExperimentReport:
-    """Measure idle, at the stated changes a day, and at the worst."""
+    """Measure the cost when idle, at 260 changes a day, and in the worst case.
+
+    Args:
+        seed: seed of the simulation.
+        processes: number of simulated processes.
+        real: number of processes to measure on loopback besides; 0 for none.
+    """
     figures: dict[str, Any] = {'processes': processes}
     figures['by_size'] = {
-        size: _idle(VirtualFleet(size, seed))
-        for size in (*_SIZES, processes)
+        size: _measure_idle(VirtualFleet(size, seed))
+        for size in (*_FLEET_SIZES, processes)
         if size <= processes
     }
     figures['state_by_size'] = {
-        size: measure_state(size, seed) for size in _STATE_SIZES
+        size: measure_state(size, seed) for size in _STATE_FLEET_SIZES
     }
     fleet = VirtualFleet(processes, seed)
-    idle = _idle(fleet)
-    change = _measure(fleet, _change_often)
-    changes = _CHANGES / (_CHANGES * _APART_SECONDS)
+    idle = _measure_idle(fleet)
+    change = _measure_cost(fleet, _run_frequent_changes)
+    changes = _CHANGES / (_CHANGES * _CHANGE_INTERVAL_SECONDS)
     figures['bytes_a_second_idle'] = idle['bytes_a_second']
     figures['core_share_idle'] = idle['core_share']
     for cost in ('bytes_a_second', 'core_share'):
         each = max(change[cost] - idle[cost], 0) / changes
-        daily = idle[cost] + each * _CHANGES_A_DAY / _DAY_SECONDS
+        daily = idle[cost] + each * _CHANGES_A_DAY / _SECONDS_PER_DAY
         figures[f'{cost}_260_changes_a_day'] = daily
-    worst = _measure(fleet, _worst)
+    worst = _measure_cost(fleet, _run_worst_case)
     figures['bytes_a_second_worst'] = worst['bytes_a_second']
-    # In virtual time a document is checked once for all processes; here each
-    # process pays for its own check of the change in each second.
-    checked = measure_state(processes, seed)['judge_ms'] / _MILLISECONDS
-    figures['core_share_worst'] = worst['core_share'] + checked
+    # The simulation validates each document once for all processes, so the
+    # cost of one validation per process and change is added here; the worst
+    # case has one change each second.
+    check_seconds = (
+        measure_state(processes, seed)['judge_ms'] / _MILLISECONDS_PER_SECOND
+    )
+    figures['core_share_worst'] = worst['core_share'] + check_seconds
     figures['core_share_260_changes_a_day'] += (
-        checked * _CHANGES_A_DAY / _DAY_SECONDS
+        check_seconds * _CHANGES_A_DAY / _SECONDS_PER_DAY
     )
-    naive = _naive(processes)
+    naive = _naive_cost(processes)
     bounds = [
         at_most(f'{what}, {when}', limit, figures[f'{what}_{when}'])
         for what, limit in (
-            ('bytes_a_second', _MAX_BYTES),
+            ('bytes_a_second', _MAX_BYTES_PER_SECOND),
             ('core_share', _MAX_CORE_SHARE),
         )
         for when in ('idle', '260_changes_a_day', 'worst')
     ]
     if real:
-        bounds.extend(_real(real, figures))
+        bounds.extend(_measure_processes(real, figures))
     return ExperimentReport('control', seed, figures, naive, bounds)
 
 
-def _measure(
+def _measure_cost(
     fleet: VirtualFleet,
-    act: Callable[[VirtualFleet], float],
+    run_scenario: Callable[[VirtualFleet], float],
 ) -> dict[str, float]:
-    """Return bytes sent and processor time for each process and second.
+    """Return bytes sent and processor time per process and second.
 
-    The processor time is that of the product's decisions, codec and codes;
-    sockets and the event loop come on top, see ``--real``.
+    The processor time covers siskinbank's decisions, codec and message
+    authentication, without sockets and the event loop; for those see
+    ``--real``.
     """
     network = fleet.network
     datagrams, octets = network.datagrams, network.octets
     gc.collect()
     started = time.process_time()
-    seconds = act(fleet)
-    busy = time.process_time() - started
-    sent = network.octets - octets
-    sent += (network.datagrams - datagrams) * _HEADER_BYTES
-    count = len(fleet.nodes) * seconds
-    return {'bytes_a_second': sent / count, 'core_share': busy / count}
+    seconds = run_scenario(fleet)
+    processor_seconds = time.process_time() - started
+    bytes_sent = network.octets - octets
+    bytes_sent += (network.datagrams - datagrams) * _HEADER_BYTES
+    process_seconds = len(fleet.nodes) * seconds
+    return {
+        'bytes_a_second': bytes_sent / process_seconds,
+        'core_share': processor_seconds / process_seconds,
+    }
 
 
-def _idle(fleet: VirtualFleet) -> dict[str, float]:
+def _measure_idle(fleet: VirtualFleet) -> dict[str, float]:
     if not fleet.generation:
         fleet.start()
 
@@ -111,21 +124,25 @@
         idle.run(_IDLE_SECONDS)
         return _IDLE_SECONDS
 
-    return _measure(fleet, wait)
+    return _measure_cost(fleet, wait)
 
 
-def _change_often(fleet: VirtualFleet) -> float:
+def _run_frequent_changes(fleet: VirtualFleet) -> float:
     for number in range(_CHANGES):
         fleet.publish(number)
-        fleet.run(_APART_SECONDS)
-    return _CHANGES * _APART_SECONDS
+        fleet.run(_CHANGE_INTERVAL_SECONDS)
+    return _CHANGES * _CHANGE_INTERVAL_SECONDS
+
 
+def _run_worst_case(fleet: VirtualFleet) -> float:
+    """Kill a data centre, then change the fleet every second.
 
-def _worst(fleet: VirtualFleet) -> float:
-    """Lose a data centre, restart others, and change all the while."""
-    centre = fleet.instances[0].data_centre
+    Each second publishes a document, restarts a process and lists another as
+    leaving.
+    """
+    data_centre = fleet.instances[0].data_centre
     for instance in fleet.instances:
-        if instance.data_centre == centre:
+        if instance.data_centre == data_centre:
             fleet.kill(instance.name)
     names = [node.identity.name for node in fleet.alive]
     for second in range(_WORST_SECONDS):
@@ -136,8 +153,8 @@
     return _WORST_SECONDS
 
 
-def _naive(processes: int) -> dict[str, Any]:
-    """Let everyone poll manifest and list each second."""
+def _naive_cost(processes: int) -> dict[str, Any]:
+    """Return the cost if each process polled manifest and list each second."""
     fleet = VirtualFleet(processes, 0)
     fleet.publish()
     manifest = len(fleet.platform.manifest.raw)
@@ -148,8 +165,8 @@
     }
 
 
-def _real(count: int, figures: dict[str, Any]) -> list[Any]:
-    """Measure separate processes on loopback."""
+def _measure_processes(count: int, figures: dict[str, Any]) -> list[Any]:
+    """Measure ``count`` separate processes on loopback."""
     measured = asyncio.run(measure_real(count))
     bare = bare_kilobytes()
     memory = {
@@ -163,7 +180,11 @@
     figures['kilobytes_by_import'] = import_costs()
     return [
         at_most('core share, real', _MAX_CORE_SHARE, measured.core_share),
-        at_most('bytes a second, real', _MAX_BYTES, measured.bytes_a_second),
+        at_most(
+            'bytes a second, real',
+            _MAX_BYTES_PER_SECOND,
+            measured.bytes_a_second,
+        ),
         *(
             at_most(f'kilobytes beyond bare, {role}', _MAX_KILOBYTES, used)
             for role, used in memory.items()
--- a/siskinbank/lab/disturbances.py
+++ b/siskinbank/lab/disturbances.py
@@ -1,4 +1,4 @@
-"""What a soak run did to the fleet, and what that excuses."""
+"""Records of the faults and planned changes of a soak run."""
 
 import enum
 from dataclasses import dataclass, field
@@ -7,7 +7,7 @@
 
 
 class Fault(enum.StrEnum):
-    """The kinds of faults and planned changes."""
+    """Kinds of faults and planned changes."""
 
     entry_killed = 'entry killed'
     entry_paused = 'entry paused'
@@ -16,17 +16,21 @@
     sidecar_paused = 'sidecar paused'
     host_drained = 'host drained'
     host_leaving = 'host listed as leaving'
-    centre_out = 'data centre out'
+    data_centre_out = 'data centre out'
     platform_down = 'platform down'
     platform_stale = 'platform stale'
-    changed = 'configuration changed'
+    configuration_changed = 'configuration changed'
 
 
 @dataclass(slots=True)
 class Disturbance:
-    """One fault of ``name`` from ``start`` to ``end``.
+    """One fault or planned change.
 
-    Times are in seconds since 1970; ``end`` is infinite while it lasts.
+    Attributes:
+        fault: its kind.
+        name: the process, host, data centre or platform affected.
+        start: start in seconds since 1970.
+        end: end in seconds since 1970; infinite while it lasts.
     """
 
     fault: Fault
@@ -35,39 +39,47 @@
     end: float = float('inf')
 
     def overlaps(self, start: float, end: float) -> bool:
-        """Whether it touched the time between ``start`` and ``end``."""
+        """Return whether it overlaps the time from ``start`` to ``end``."""
         return self.start <= end and start <= self.end
 
 
 @dataclass(slots=True)
 class Disturbances:
-    """All faults of one run."""
+    """Faults and planned changes of one run."""
 
-    entries: list[Disturbance] = field(default_factory=list)
+    records: list[Disturbance] = field(default_factory=list)
 
     def add(self, fault: Fault, name: str, start: float) -> Disturbance:
-        """Note a fault that starts."""
-        added = Disturbance(fault, name, start)
-        self.entries.append(added)
-        return added
-
-    def of(self, *faults: Fault) -> list[Disturbance]:
-        """Return the faults of some kinds."""
-        return [entry for entry in self.entries if entry.fault in faults]
-
-    def touched(
+        """Record the start of a fault."""
+        disturbance = Disturbance(fault, name, start)
+        self.records.append(disturbance)
+        return disturbance
+
+    def of_kind(self, *faults: Fault) -> list[Disturbance]:
+        """Return the records of the given kinds."""
+        return [
+            disturbance
+            for disturbance in self.records
+            if disturbance.fault in faults
+        ]
+
+    def affected(
         self,
         faults: tuple[Fault, ...],
         name: str | None,
         start: float,
         end: float,
     ) -> bool:
-        """Whether a fault of a kind touched ``name`` in a time.
+        """Return whether a fault of the given kinds affected ``name``.
 
-        Any name counts if ``name`` is None.
+        Args:
+            faults: kinds to look for.
+            name: affected name; None matches any.
+            start: start of the time in seconds since 1970.
+            end: end of the time in seconds since 1970.
         """
         return any(
-            entry.overlaps(start, end)
-            for entry in self.of(*faults)
-            if name is None or entry.name == name
+            disturbance.overlaps(start, end)
+            for disturbance in self.of_kind(*faults)
+            if name is None or disturbance.name == name
         )
--- a/siskinbank/lab/experiment.py
+++ b/siskinbank/lab/experiment.py
@@ -1,4 +1,4 @@
-"""What every experiment reports, and the command that runs it."""
+"""The report of an experiment, and the command that runs it."""
 
 import json
 from collections.abc import Callable, Sequence
@@ -19,7 +19,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Bound:
-    """A stated target and the value that was measured."""
+    """A target and the measured value.
+
+    Attributes:
+        name: name in the report, with the unit.
+        bound: the target.
+        value: the measured value.
+        holds: whether the value meets the target.
+    """
 
     name: str
     bound: float
@@ -28,18 +35,26 @@
 
 
 def at_most(name: str, bound: float, measured: float) -> Bound:
-    """Return a bound that holds up to ``bound``."""
+    """Return a bound that holds if ``measured`` is at most ``bound``."""
     return Bound(name, bound, measured, measured <= bound)
 
 
 def at_least(name: str, bound: float, measured: float) -> Bound:
-    """Return a bound that holds from ``bound`` on."""
+    """Return a bound that holds if ``measured`` is at least ``bound``."""
     return Bound(name, bound, measured, measured >= bound)
 
 
 @dataclass(frozen=True, slots=True)
 class ExperimentReport:
-    """The figures of one run beside those of the naive version."""
+    """Figures of one run, beside those of a naive implementation.
+
+    Attributes:
+        experiment: name of the experiment.
+        seed: seed of the run.
+        siskinbank: figures of siskinbank by name.
+        naive: figures of the naive implementation by name.
+        bounds: targets with the measured values.
+    """
 
     experiment: str
     seed: int
@@ -49,27 +64,30 @@
 
     @property
     def holds(self) -> bool:
-        """Whether every bound holds; a run without bounds proves nothing."""
+        """Return whether there are bounds and all of them hold."""
         return bool(self.bounds) and all(bound.holds for bound in self.bounds)
 
     def lines(self) -> list[str]:
-        """Return the report for a terminal."""
+        """Return the report as lines of text."""
         lines = [f'{self.experiment}, seed {self.seed}']
         for name in sorted(self.siskinbank.keys() | self.naive.keys()):
-            ours = _short(self.siskinbank.get(name))
-            naive = _short(self.naive.get(name))
+            ours = _format_figure(self.siskinbank.get(name))
+            naive = _format_figure(self.naive.get(name))
             lines.append(f'  {name}: {ours} (naive: {naive})')
         for bound in self.bounds:
             verdict = 'holds' if bound.holds else 'DOES NOT HOLD'
             lines.append(
-                f'  bound {bound.name}: {_short(bound.value)} against '
-                f'{_short(bound.bound)}: {verdict}',
+                f'  bound {bound.name}: {_format_figure(bound.value)} against '
+                f'{_format_figure(bound.bound)}: {verdict}',
             )
         return lines
 
 
 class ExperimentCommand(click.Command):
-    """A command that measures; others may call ``measure`` themselves."""
+    """A command that runs an experiment.
+
+    ``run_default`` runs it without the command line.
+    """
 
     def __init__(
         self,
@@ -77,19 +95,25 @@
         measure: Callable[..., ExperimentReport],
         **options: Any,
     ) -> None:
-        """Keep what the command runs."""
+        """Initialize the command.
+
+        Args:
+            args: positional arguments of ``click.Command``.
+            measure: function that runs the experiment.
+            options: keyword arguments of ``click.Command``.
+        """
         super().__init__(*args, **options)
         self._measure = measure
 
     def run_default(self, seed: int) -> ExperimentReport:
-        """Measure with the default of every other option."""
+        """Run the experiment with the default of every other option."""
         context = self.make_context(self.name, [])
-        given = {
+        option_values = {
             name: chosen
             for name, chosen in context.params.items()
             if name not in {'seed', 'as_json'}
         }
-        return self._measure(seed=seed, **given)
+        return self._measure(seed=seed, **option_values)
 
 
 def make_command(
@@ -98,20 +122,21 @@
     measure: Callable[..., ExperimentReport],
     options: Sequence[click.Option] = (),
 ) -> click.Command:
-    """Return the command ``siskinbank lab NAME``.
+    """Create the command ``siskinbank lab NAME``.
 
     Args:
-        name: the experiment's name.
-        summary: what it measures, for the help.
-        measure: takes ``seed`` and the options' values by name.
-        options: options besides ``--seed`` and ``--json``.
+        name: name of the experiment.
+        summary: help text of the command.
+        measure: function that runs the experiment; it gets ``seed`` and the
+            values of ``options`` as keyword arguments.
+        options: command line options besides ``--seed`` and ``--json``.
 
     Returns:
-        A command that exits with 1 where a bound does not hold.
+        A command that exits with 1 if a bound does not hold.
     """
 
-    def run(seed: int, as_json: bool, **given: Any) -> int:
-        report = measure(seed=seed, **given)
+    def run(seed: int, as_json: bool, **option_values: Any) -> int:
+        report = measure(seed=seed, **option_values)
         if as_json:
             click.echo(json.dumps(asdict(report)))
         else:
@@ -131,5 +156,5 @@
     )
 
 
-def _short(number: Any) -> str:
+def _format_figure(number: Any) -> str:
     return f'{number:.4g}' if isinstance(number, float) else str(number)
--- a/siskinbank/lab/membership.py
+++ b/siskinbank/lab/membership.py
@@ -1,4 +1,4 @@
-"""Measure what a lying list, silence, pauses and partitions lead to."""
+"""Measure membership under wrong lists, failures, pauses and partitions."""
 
 from typing import Any
 
@@ -10,41 +10,48 @@
 
 __all__ = ('measure_membership',)
 
-#: Stated targets in seconds.
-_LEAVING_SECONDS = 3
-_GONE_SECONDS = 30
-_FRESH_SECONDS = 5
-_HEAL_SECONDS = 10
-#: Stated target in bytes a second for each process.
-_MAX_BYTES = 28_000
-_LIST_SECONDS = 8
+#: Targets in seconds.
+_MAX_LEAVING_SECONDS = 3
+_MAX_GONE_SECONDS = 30
+_MAX_FRESH_SECONDS = 5
+_MAX_HEAL_SECONDS = 10
+#: Target for each process.
+_MAX_BYTES_PER_SECOND = 28_000
+_LIST_EFFECT_SECONDS = 8
 _PAUSE_SECONDS = 20
-_APART_SECONDS = 25
+_PARTITION_SECONDS = 25
 _STEP_SECONDS = 0.25
 
 
 def measure_membership(seed: int, processes: int) -> ExperimentReport:
-    """Lie about the fleet, lose and pause processes, part the regions."""
+    """Serve wrong lists, kill and pause processes, partition the regions.
+
+    Args:
+        seed: seed of the simulation.
+        processes: number of simulated processes.
+    """
     fleet = VirtualFleet(processes, seed)
     fleet.start()
     figures: dict[str, Any] = {'processes': processes}
     naive: dict[str, Any] = {}
     figures['seconds_leaving_by_list'] = _leave_by_list(fleet)
-    figures['seconds_leaving_by_word'] = _leave_by_word(fleet)
-    figures['healthy_dropped'], naive['healthy_dropped'] = _lie(fleet)
-    figures.update(_lose_one(fleet))
-    figures.update(_pause(fleet))
-    figures.update(_part(fleet))
+    figures['seconds_leaving_by_word'] = _leave_by_announcement(fleet)
+    figures['healthy_dropped'], naive['healthy_dropped'] = _serve_wrong_lists(
+        fleet
+    )
+    figures.update(_kill_one(fleet))
+    figures.update(_pause_processes(fleet))
+    figures.update(_partition_regions(fleet))
     naive['acted_while_stale'] = figures.pop('would_act_at_once')
     bounds = [
         at_most(
             'seconds until a leaving host is known by list',
-            _LEAVING_SECONDS,
+            _MAX_LEAVING_SECONDS,
             figures['seconds_leaving_by_list'],
         ),
         at_most(
             'seconds until a leaving host is known by its own word',
-            _LEAVING_SECONDS,
+            _MAX_LEAVING_SECONDS,
             figures['seconds_leaving_by_word'],
         ),
         at_most(
@@ -54,7 +61,7 @@
         ),
         at_most(
             'seconds until a dead host is gone everywhere',
-            _GONE_SECONDS,
+            _MAX_GONE_SECONDS,
             figures['seconds_gone'],
         ),
         at_least(
@@ -69,17 +76,17 @@
         ),
         at_most(
             'seconds until a woken process acts again',
-            _FRESH_SECONDS,
+            _MAX_FRESH_SECONDS,
             figures['seconds_until_fresh'],
         ),
         at_most(
             'seconds until nobody is gone after regions heal',
-            _HEAL_SECONDS,
+            _MAX_HEAL_SECONDS,
             figures['seconds_to_heal'],
         ),
         at_most(
             'bytes a second of a process while regions heal',
-            _MAX_BYTES,
+            _MAX_BYTES_PER_SECOND,
             figures['bytes_while_healing'],
         ),
     ]
@@ -87,21 +94,25 @@
 
 
 def _leave_by_list(fleet: VirtualFleet) -> float:
-    """Return the seconds from the first process that knows to the last."""
+    """Mark a host as leaving in the platform's list.
+
+    Returns:
+        Seconds from the first process that knows of it to the last.
+    """
     name = fleet.instances[-1].name
     fleet.list_as(name, InstanceState.leaving)
-    fleet.run(_LIST_SECONDS)
-    return _spread(fleet, name)
+    fleet.run(_LIST_EFFECT_SECONDS)
+    return _detection_spread(fleet, name)
 
 
-def _leave_by_word(fleet: VirtualFleet) -> float:
+def _leave_by_announcement(fleet: VirtualFleet) -> float:
     name = fleet.instances[-2].name
     fleet.nodes[name].gossip.declare_leaving()
-    fleet.run(_LIST_SECONDS)
-    return _spread(fleet, name)
+    fleet.run(_LIST_EFFECT_SECONDS)
+    return _detection_spread(fleet, name)
 
 
-def _spread(fleet: VirtualFleet, name: str) -> float:
+def _detection_spread(fleet: VirtualFleet, name: str) -> float:
     known = [node.leaving_at.get(name) for node in fleet.alive]
     if any(at is None for at in known):
         return float('inf')
@@ -109,86 +120,88 @@
     return max(times) - min(times)
 
 
-def _lie(fleet: VirtualFleet) -> tuple[int, int]:
-    """Omit half the fleet, then list nobody.
+def _serve_wrong_lists(fleet: VirtualFleet) -> tuple[int, int]:
+    """Serve a list of half the fleet, an empty one, then the whole list.
 
     Returns:
-        How many were dropped, and how many a process would have dropped that
-        believes each list.
+        The number of hosts that processes dropped, and the number that a
+        process which follows each list would have dropped.
     """
     whole = fleet.platform.instances
     omitted: set[str] = set()
     for listed in (whole[::2], [], whole):
         fleet.platform.instances = listed
-        fleet.run(_LIST_SECONDS)
+        fleet.run(_LIST_EFFECT_SECONDS)
         omitted |= set(fleet.nodes) - {one.name for one in listed}
     dropped = {name for node in fleet.alive for name in node.ever_gone}
     return len(dropped), len(omitted)
 
 
-def _lose_one(fleet: VirtualFleet) -> dict[str, Any]:
-    """Kill a process that the list goes on to name."""
+def _kill_one(fleet: VirtualFleet) -> dict[str, Any]:
+    """Kill a process that remains in the list."""
     name = fleet.instances[-3].name
-    died_at = fleet.clock.now
+    killed_at = fleet.clock.now
     fleet.kill(name)
-    while fleet.clock.now - died_at < _GONE_SECONDS + 1:
+    while fleet.clock.now - killed_at < _MAX_GONE_SECONDS + 1:
         fleet.run(_STEP_SECONDS)
         if all(name in node.gossip.gone for node in fleet.alive):
             break
     times = [
-        node.gone_at.get(name, float('inf')) - died_at for node in fleet.alive
+        node.gone_at.get(name, float('inf')) - killed_at for node in fleet.alive
     ]
     return {'seconds_gone': max(times), 'seconds_gone_first': min(times)}
 
 
-def _pause(fleet: VirtualFleet) -> dict[str, Any]:
-    """Pause two processes for longer than the lease, and wake them."""
+def _pause_processes(fleet: VirtualFleet) -> dict[str, Any]:
+    """Pause two processes for longer than the lease, then resume them."""
     paused = fleet.alive[:2]
-    for tired in paused:
-        tired.pause()
+    for paused_node in paused:
+        paused_node.pause()
     fleet.publish(1)
     fleet.run(_PAUSE_SECONDS)
-    woke_at = fleet.clock.now
-    behind = sum(_is_behind(node, fleet) for node in paused)
-    acted = sum(node.gossip.fresh for node in paused)
-    for woken in paused:
-        woken.resume()
+    resumed_at = fleet.clock.now
+    outdated_count = sum(_is_outdated(node, fleet) for node in paused)
+    acted_count = sum(node.gossip.fresh for node in paused)
+    for resumed_node in paused:
+        resumed_node.resume()
     seconds = float('inf')
-    while fleet.clock.now - woke_at < _LIST_SECONDS:
-        acted += sum(
-            one.gossip.fresh and _is_behind(one, fleet) for one in paused
+    while fleet.clock.now - resumed_at < _LIST_EFFECT_SECONDS:
+        acted_count += sum(
+            one.gossip.fresh and _is_outdated(one, fleet) for one in paused
         )
         fleet.run(_STEP_SECONDS / 10)
         if all(one.gossip.fresh for one in paused):
-            seconds = fleet.clock.now - woke_at
+            seconds = fleet.clock.now - resumed_at
             break
     return {
-        'acted_while_stale': acted,
-        'would_act_at_once': behind,
+        'acted_while_stale': acted_count,
+        'would_act_at_once': outdated_count,
         'seconds_until_fresh': seconds,
     }
 
 
-def _is_behind(node: VirtualNode, fleet: VirtualFleet) -> bool:
+def _is_outdated(node: VirtualNode, fleet: VirtualFleet) -> bool:
     return node.generation < fleet.generation
 
 
-def _part(fleet: VirtualFleet) -> dict[str, Any]:
-    """Let regions lose each other, publish, and let them find each other."""
-    lost = {instance.name for instance in fleet.instances[-3:]}
+def _partition_regions(fleet: VirtualFleet) -> dict[str, Any]:
+    """Partition the regions, publish, and remove the partition."""
+    removed_names = {instance.name for instance in fleet.instances[-3:]}
     fleet.cut_regions()
     fleet.platform.only_region = 'north'
-    fleet.run(_APART_SECONDS / 2)
+    fleet.run(_PARTITION_SECONDS / 2)
     fleet.publish(2)
-    fleet.run(_APART_SECONDS / 2)
-    gone = max(len(node.gossip.gone - lost) for node in fleet.alive)
+    fleet.run(_PARTITION_SECONDS / 2)
+    gone = max(len(node.gossip.gone - removed_names) for node in fleet.alive)
     fleet.heal()
     healed_at = fleet.clock.now
     before = fleet.network.octets
     seconds = float('inf')
-    while fleet.clock.now - healed_at < _HEAL_SECONDS + 1:
+    while fleet.clock.now - healed_at < _MAX_HEAL_SECONDS + 1:
         fleet.run(_STEP_SECONDS)
-        whole = not any(node.gossip.gone - lost for node in fleet.alive)
+        whole = not any(
+            node.gossip.gone - removed_names for node in fleet.alive
+        )
         newest = all(
             node.generation == fleet.generation for node in fleet.alive
         )
--- a/siskinbank/lab/memory.py
+++ b/siskinbank/lab/memory.py
@@ -1,4 +1,4 @@
-"""Memory of processes, as the kernel accounts it."""
+"""Memory use of processes, as reported by the Linux kernel."""
 
 import subprocess
 import sys
@@ -6,14 +6,14 @@
 
 __all__ = ('bare_kilobytes', 'import_costs', 'private_kilobytes')
 
-_SECONDS = 20
-_PRIVATE = ('Private_Clean:', 'Private_Dirty:')
-_READ = (
+_TIMEOUT_SECONDS = 20
+_PRIVATE_FIELDS = ('Private_Clean:', 'Private_Dirty:')
+_PRINT_PRIVATE_KILOBYTES = (
     'import sys; print(sum(int(line.split()[1]) '
     "for line in open('/proc/self/smaps_rollup') "
     "if line.startswith('Private')))"
 )
-_IMPORTS = (
+_MEASURED_IMPORTS = (
     'asyncio',
     'uvloop',
     'aiomisc',
@@ -31,36 +31,42 @@
 )
 
 
-def private_kilobytes(process: int) -> int:
-    """Return the memory that belongs to one process alone (USS).
+def private_kilobytes(pid: int) -> int:
+    """Return the unique set size (USS) of a process in KiB.
 
     Raises:
         OSError: there is no such process.
     """
-    rollup = Path(f'/proc/{process}/smaps_rollup').read_text('ascii')
+    rollup = Path(f'/proc/{pid}/smaps_rollup').read_text('ascii')
     return sum(
         int(line.split()[1])
         for line in rollup.splitlines()
-        if line.startswith(_PRIVATE)
+        if line.startswith(_PRIVATE_FIELDS)
     )
 
 
 def bare_kilobytes() -> int:
-    """Return the memory of an interpreter that does nothing."""
-    return _run('pass')
+    """Return the USS of an idle Python interpreter in KiB."""
+    return _measure_statement('pass')
 
 
 def import_costs() -> dict[str, int]:
-    """Return what each import holds beyond the bare interpreter, alone."""
+    """Return the USS of each import beyond an idle interpreter, in KiB.
+
+    Each module is imported alone in a new interpreter.
+    """
     bare = bare_kilobytes()
-    return {name: _run(f'import {name}') - bare for name in _IMPORTS}
+    return {
+        name: _measure_statement(f'import {name}') - bare
+        for name in _MEASURED_IMPORTS
+    }
 
 
-def _run(statement: str) -> int:
-    ended = subprocess.run(
-        [sys.executable, '-c', f'{statement}\n{_READ}'],
+def _measure_statement(statement: str) -> int:
+    completed = subprocess.run(
+        [sys.executable, '-c', f'{statement}\n{_PRINT_PRIVATE_KILOBYTES}'],
         capture_output=True,
         check=True,
-        timeout=_SECONDS,
+        timeout=_TIMEOUT_SECONDS,
     )
-    return int(ended.stdout)
+    return int(completed.stdout)
--- a/siskinbank/lab/node_state.py
+++ b/siskinbank/lab/node_state.py
@@ -1,4 +1,4 @@
-"""What one process holds for control, and what a change costs it, by size."""
+"""Measure control state of one process and the cost of a change."""
 
 import gc
 import random
@@ -17,23 +17,28 @@
 
 __all__ = ('measure_state',)
 
-_KILOBYTE = 1024
-_MILLISECONDS = 1000
+_BYTES_PER_KILOBYTE = 1024
+_MILLISECONDS_PER_SECOND = 1000
 
 
 def measure_state(size: int, seed: int) -> dict[str, float]:
-    """Return kilobytes held and milliseconds for each change.
+    """Return memory in KiB and processor time of a change in milliseconds.
 
-    ``roster_kilobytes`` is the list with its index, ``documents_kilobytes``
-    the compressed sections, ``site_kilobytes`` the configuration in force.
-    ``judge_ms`` is one whole check of a changed configuration, ``merge_ms``
-    one changed record with a new index.
+    ``roster_kilobytes`` is the instance list with its index,
+    ``documents_kilobytes`` the compressed sections, ``site_kilobytes`` the
+    configuration in force. ``judge_ms`` is a full validation of a changed
+    configuration, ``merge_ms`` a merge of one changed record with a new
+    index.
+
+    Args:
+        size: number of processes in the fleet.
+        seed: seed of the simulated fleet.
     """
     fleet = VirtualFleet(size, seed)
     fleet.publish()
     manifest = fleet.platform.manifest
     packed = [msgpack.packb(record_of(one, 1).parts) for one in fleet.instances]
-    held: list[Any] = []
+    references: list[Any] = []
     figures: dict[str, float] = {}
     tracemalloc.start()
     roster = Roster().merged(
@@ -42,29 +47,29 @@
         if (record := parse_record(msgpack.unpackb(raw))) is not None
     )[0]
     roster.index()
-    figures['roster_kilobytes'] = _grown(0)
+    figures['roster_kilobytes'] = _memory_growth(0)
     store = DocumentStore(QuietLog(), Metrics())
     store.put_raw(manifest.raw)
     for raw in fleet.platform.sections.values():
         store.put_raw(raw)
     before = figures['roster_kilobytes']
-    figures['documents_kilobytes'] = _grown(before)
+    figures['documents_kilobytes'] = _memory_growth(before)
     before += figures['documents_kilobytes']
     site = store.try_adopt(manifest.key)
-    held.append(site)
-    figures['site_kilobytes'] = _grown(before)
+    references.append(site)
+    figures['site_kilobytes'] = _memory_growth(before)
     tracemalloc.stop()
-    figures['judge_ms'] = _time_judge(fleet)
+    figures['judge_ms'] = _time_validation(fleet)
     figures['merge_ms'] = _time_merge(fleet, roster, seed)
     return figures
 
 
-def _grown(before: float) -> float:
+def _memory_growth(before: float) -> float:
     gc.collect()
-    return tracemalloc.get_traced_memory()[0] / _KILOBYTE - before
+    return tracemalloc.get_traced_memory()[0] / _BYTES_PER_KILOBYTE - before
 
 
-def _time_judge(fleet: VirtualFleet) -> float:
+def _time_validation(fleet: VirtualFleet) -> float:
     manifest = fleet.platform.manifest
     sections = fleet.platform.sections
     started = time.process_time()
@@ -73,7 +78,7 @@
         lambda name: sections[bytes.fromhex(manifest.sections[name])],
         Findings(),
     )
-    return (time.process_time() - started) * _MILLISECONDS
+    return (time.process_time() - started) * _MILLISECONDS_PER_SECOND
 
 
 def _time_merge(fleet: VirtualFleet, roster: Roster, seed: int) -> float:
@@ -81,4 +86,4 @@
     started = time.process_time()
     merged = roster.merged([record_of(changed, 2)])[0]
     merged.index()
-    return (time.process_time() - started) * _MILLISECONDS
+    return (time.process_time() - started) * _MILLISECONDS_PER_SECOND
--- a/siskinbank/lab/plots.py
+++ b/siskinbank/lab/plots.py
@@ -1,4 +1,4 @@
-"""Pictures of an experiment's figures, siskinbank beside the naive version."""
+"""Plots of an experiment's figures, siskinbank beside the naive version."""
 
 import io
 from collections.abc import Sequence
@@ -7,110 +7,122 @@
 
 from siskinbank.lab.experiment import ExperimentReport
 
-__all__ = ('Panel', 'Shown', 'draw', 'panels_of')
+__all__ = ('Panel', 'Series', 'draw', 'make_panels')
 
-_COLUMNS = 3
+_MAX_COLUMNS = 3
 _PANEL_INCHES = (3.8, 2.6)
-_DOTS_AN_INCH = 110
-_OURS = '#1f6f8b'
-_NAIVE = '#c8553d'
+_DOTS_PER_INCH = 110
+_SISKINBANK_COLOUR = '#1f6f8b'
+_NAIVE_COLOUR = '#c8553d'
 _MAX_PANELS = 12
-_LEAST_POINTS = 3
-_ROOM_FOR_LABELS = 1.25
+_MIN_CURVE_POINTS = 3
+_LABEL_SPACE_FACTOR = 1.25
 
 
 @dataclass(frozen=True, slots=True)
-class Shown:
-    """One figure, or one curve of figures, and whose it is."""
+class Series:
+    """One bar or one curve of a panel.
+
+    Attributes:
+        label: label in the plot.
+        ours: whether the figures are those of siskinbank.
+        value: length of the bar.
+        points: points of the curve; empty for a bar.
+    """
 
     label: str
     ours: bool
-    size: float = 0
+    value: float = 0
     points: tuple[float, ...] = ()
 
     @property
     def colour(self) -> str:
-        """The colour that tells whose figure it is."""
-        return _OURS if self.ours else _NAIVE
+        """The colour of siskinbank or of the naive version."""
+        return _SISKINBANK_COLOUR if self.ours else _NAIVE_COLOUR
 
 
 @dataclass(frozen=True, slots=True)
 class Panel:
-    """One picture: bars, or lines where the figures are curves."""
+    """One plot with a title, either of bars or of curves."""
 
     title: str
-    shown: tuple[Shown, ...]
+    series: tuple[Series, ...]
 
     @property
     def has_curves(self) -> bool:
-        """Whether lines are drawn."""
-        return any(figure.points for figure in self.shown)
+        """Return whether the panel shows curves."""
+        return any(figure.points for figure in self.series)
 
 
-def panels_of(report: ExperimentReport) -> list[Panel]:
-    """Return the panels of all figures that can be compared.
+def make_panels(report: ExperimentReport) -> list[Panel]:
+    """Return panels for the figures that can be compared.
 
-    Figures with one name on both sides go side by side. So do figures whose
-    names end with the same word, such as ``modulo_broken``, and those that
-    start with it, such as ``broken_by_planned_changes``.
+    Figures with the same name on both sides share a panel. So do naive
+    figures that end with a word, such as ``modulo_broken``, and siskinbank's
+    figures that start with it, such as ``broken_by_planned_changes``.
     """
     ours, naive = report.siskinbank, report.naive
     panels = []
     for name in ours:
         if name in naive:
-            panel = _compare(name, ours[name], naive[name])
+            panel = _make_panel(name, ours[name], naive[name])
             if panel is not None:
                 panels.append(panel)
-    panels.extend(_related(report))
+    panels.extend(_make_related_panels(report))
     return panels[:_MAX_PANELS]
 
 
-def _compare(name: str, ours: Any, naive: Any) -> Panel | None:
+def _make_panel(name: str, ours: Any, naive: Any) -> Panel | None:
     title = name.replace('_', ' ')
     if _is_number(ours) and _is_number(naive):
-        bars = Shown('siskinbank', True, ours), Shown('naive', False, naive)
+        bars = Series('siskinbank', True, ours), Series('naive', False, naive)
         return Panel(title, bars)
     if _is_curve(ours) and _is_curve(naive):
         curves = (
-            Shown('siskinbank', True, points=tuple(ours)),
-            Shown('naive', False, points=tuple(naive)),
+            Series('siskinbank', True, points=tuple(ours)),
+            Series('naive', False, points=tuple(naive)),
         )
         return Panel(title, curves)
     return None
 
 
-def _related(report: ExperimentReport) -> list[Panel]:
-    """Return panels of naive figures without a namesake, by their last word."""
-    stems: dict[str, list[Shown]] = {}
+def _make_related_panels(report: ExperimentReport) -> list[Panel]:
+    """Return panels of figures without a counterpart of the same name.
+
+    Naive figures are grouped by the last word of their names.
+    """
+    stems: dict[str, list[Series]] = {}
     for name in report.naive.keys() - report.siskinbank.keys():
         if _is_number(report.naive[name]):
             label, _underscore, stem = name.rpartition('_')
-            shown = Shown(f'naive\n{label}', False, report.naive[name])
-            stems.setdefault(stem, []).append(shown)
+            series = Series(f'naive\n{label}', False, report.naive[name])
+            stems.setdefault(stem, []).append(series)
     panels = []
     for stem in sorted(stems):
-        ours = _starting_with(f'{stem}_', report.siskinbank)
-        naive = sorted(stems[stem], key=_label)
+        ours = _series_with_prefix(f'{stem}_', report.siskinbank)
+        naive = sorted(stems[stem], key=_label_of)
         if ours:
             panels.append(Panel(stem, (*ours, *naive)))
     return panels
 
 
-def _starting_with(lead: str, figures: dict[str, Any]) -> list[Shown]:
+def _series_with_prefix(prefix: str, figures: dict[str, Any]) -> list[Series]:
     return [
-        Shown(_our_label(name.removeprefix(lead)), True, figures[name])
+        Series(
+            _siskinbank_label(name.removeprefix(prefix)), True, figures[name]
+        )
         for name in figures
-        if name.startswith(lead) and _is_number(figures[name])
+        if name.startswith(prefix) and _is_number(figures[name])
     ]
 
 
-def _our_label(name: str) -> str:
+def _siskinbank_label(name: str) -> str:
     words = name.replace('_', ' ')
     return f'siskinbank\n{words}'
 
 
-def _label(shown: Shown) -> str:
-    return shown.label
+def _label_of(series: Series) -> str:
+    return series.label
 
 
 def _is_number(figure: Any) -> bool:
@@ -120,68 +132,68 @@
 def _is_curve(figure: Any) -> bool:
     return (
         isinstance(figure, list)
-        and len(figure) >= _LEAST_POINTS
+        and len(figure) >= _MIN_CURVE_POINTS
         and all(_is_number(point) for point in figure)
     )
 
 
 def draw(panels: Sequence[Panel]) -> bytes:
-    """Return a PNG picture of some panels.
+    """Return a PNG image of the panels.
 
     Raises:
         ImportError: matplotlib is not installed.
     """
-    # An optional extra: only those who write reports install it.
+    # Optional dependency, installed by the extra siskinbank[report].
     from matplotlib.figure import Figure
 
-    columns = min(_COLUMNS, len(panels))
+    columns = min(_MAX_COLUMNS, len(panels))
     rows = -(-len(panels) // columns)
     figure = Figure(
         figsize=(_PANEL_INCHES[0] * columns, _PANEL_INCHES[1] * rows),
         layout='constrained',
     )
     grid = figure.subplots(rows, columns, squeeze=False)
-    places = [place for row in grid for place in row]
-    for place, panel in zip(places, panels, strict=False):
-        _draw_panel(place, panel)
-    for unused in places[len(panels) :]:
+    axes = [ax for row in grid for ax in row]
+    for ax, panel in zip(axes, panels, strict=False):
+        _draw_panel(ax, panel)
+    for unused in axes[len(panels) :]:
         unused.set_visible(False)
-    held = io.BytesIO()
-    figure.savefig(held, format='png', dpi=_DOTS_AN_INCH)
-    return held.getvalue()
+    buffer = io.BytesIO()
+    figure.savefig(buffer, format='png', dpi=_DOTS_PER_INCH)
+    return buffer.getvalue()
 
 
-def _draw_panel(place: Any, panel: Panel) -> None:
-    place.set_title(panel.title, fontsize=10)
-    place.spines[['top', 'right']].set_visible(False)
-    place.tick_params(labelsize=8)
+def _draw_panel(ax: Any, panel: Panel) -> None:
+    ax.set_title(panel.title, fontsize=10)
+    ax.spines[['top', 'right']].set_visible(False)
+    ax.tick_params(labelsize=8)
     if panel.has_curves:
-        _draw_curves(place, panel.shown)
+        _draw_curves(ax, panel.series)
     else:
-        _draw_bars(place, panel.shown)
+        _draw_bars(ax, panel.series)
 
 
-def _draw_curves(place: Any, curves: Sequence[Shown]) -> None:
+def _draw_curves(ax: Any, curves: Sequence[Series]) -> None:
     for curve in curves:
-        place.plot(curve.points, color=curve.colour, label=curve.label)
-    place.set_ylim(bottom=0)
-    place.legend(fontsize=8, frameon=False)
+        ax.plot(curve.points, color=curve.colour, label=curve.label)
+    ax.set_ylim(bottom=0)
+    ax.legend(fontsize=8, frameon=False)
 
 
-def _draw_bars(place: Any, bars: Sequence[Shown]) -> None:
-    drawn = place.barh(
+def _draw_bars(ax: Any, bars: Sequence[Series]) -> None:
+    container = ax.barh(
         range(len(bars)),
-        [bar.size for bar in bars],
+        [bar.value for bar in bars],
         color=[bar.colour for bar in bars],
     )
-    place.set_yticks(range(len(bars)), [bar.label for bar in bars])
-    place.invert_yaxis()
-    place.bar_label(
-        drawn,
-        labels=[f'{bar.size:,.4g}' for bar in bars],
+    ax.set_yticks(range(len(bars)), [bar.label for bar in bars])
+    ax.invert_yaxis()
+    ax.bar_label(
+        container,
+        labels=[f'{bar.value:,.4g}' for bar in bars],
         padding=3,
         fontsize=8,
     )
-    most = max(bar.size for bar in bars)
-    if min(bar.size for bar in bars) >= 0:
-        place.set_xlim(0, most * _ROOM_FOR_LABELS or 1)
+    largest = max(bar.value for bar in bars)
+    if min(bar.value for bar in bars) >= 0:
+        ax.set_xlim(0, largest * _LABEL_SPACE_FACTOR or 1)
--- a/siskinbank/lab/promises.py
+++ b/siskinbank/lab/promises.py
@@ -1,4 +1,4 @@
-"""Judge a soak run against each promise, and count its chances to fail."""
+"""Check the evidence of a soak run against each invariant."""
 
 import json
 from collections import Counter
@@ -11,29 +11,36 @@
 
 __all__ = (
     'Evidence',
-    'Promise',
-    'PromiseTally',
-    'judge',
+    'Invariant',
+    'InvariantTally',
+    'check_invariants',
 )
 
 _GRACE_SECONDS = 3
-_BUCKETS_A_SECOND = 10
-_MOMENT_SECONDS = 0.5
+_BUCKETS_PER_SECOND = 10
+_START_MARGIN_SECONDS = 0.5
 _ANSWER_SECONDS = 5
 _MAX_EXAMPLES = 5
 
 
 @dataclass(slots=True)
-class PromiseTally:
-    """How often a promise could have failed, and how often it did."""
+class InvariantTally:
+    """Result of the checks of one invariant.
+
+    Attributes:
+        invariant: text of the invariant.
+        chances: number of checks.
+        violations: number of checks that failed.
+        examples: the first failures, as JSON.
+    """
 
-    promise: str
+    invariant: str
     chances: int = 0
     violations: int = 0
     examples: list[str] = field(default_factory=list)
 
     def check(self, *, holds: bool, example: Any = '') -> None:
-        """Count one chance."""
+        """Count one check, with an example for a violation."""
         self.chances += 1
         if holds:
             return
@@ -42,16 +49,16 @@
             self.examples.append(json.dumps(example, default=str))
 
     def line(self) -> str:
-        """Return the promise's line of the report."""
+        """Return the invariant's line of the report."""
         verdict = 'VIOLATED' if self.violations else 'held'
         return (
-            f'{verdict}: {self.promise}: {self.chances} chances, '
+            f'{verdict}: {self.invariant}: {self.chances} chances, '
             f'{self.violations} violations'
         )
 
 
-class Promise:
-    """The names of the promises, in the order of the report."""
+class Invariant:
+    """Texts of the invariants, in the order of the report."""
 
     flows = 'an established flow survives any planned change'
     service = 'a packet for one service never reaches another'
@@ -68,9 +75,17 @@
 
 @dataclass(slots=True)
 class Evidence:
-    """All that was seen in one run.
-
-    ``upstreams`` holds each upstream's last word, one for each life of it.
+    """Observations of one run.
+
+    Attributes:
+        fleet: the fleet that ran.
+        disturbances: injected faults and planned changes.
+        flows: reports of the callers' flows.
+        requests: reports of the callers' requests.
+        upstreams: final statistics of each incarnation of each upstream.
+        exit_codes: exit codes of the entries that were stopped as planned.
+        in_force: checks that publications came into force in time.
+        reverts: checks that no process returned to an older generation.
     """
 
     fleet: Fleet
@@ -79,181 +94,187 @@
     requests: list[dict[str, Any]] = field(default_factory=list)
     upstreams: list[dict[str, Any]] = field(default_factory=list)
     exit_codes: list[int | None] = field(default_factory=list)
-    in_force: PromiseTally = field(
-        default_factory=lambda: PromiseTally(Promise.in_force),
+    in_force: InvariantTally = field(
+        default_factory=lambda: InvariantTally(Invariant.in_force),
     )
-    reverts: PromiseTally = field(
-        default_factory=lambda: PromiseTally(Promise.reverts),
+    reverts: InvariantTally = field(
+        default_factory=lambda: InvariantTally(Invariant.reverts),
     )
 
 
-def judge(evidence: Evidence) -> list[PromiseTally]:
-    """Return one tally for each promise."""
+def check_invariants(evidence: Evidence) -> list[InvariantTally]:
+    """Return one tally for each invariant."""
     return [
-        _judge_flows(evidence),
-        _judge_services(evidence),
-        _judge_cold(evidence),
-        _judge_out(evidence),
-        *_judge_requests(evidence),
-        _judge_leaving(evidence),
-        _judge_graceful(evidence),
+        _check_flows(evidence),
+        _check_services(evidence),
+        _check_cold_limits(evidence),
+        _check_data_centres_out(evidence),
+        *_check_requests(evidence),
+        _check_leaving_hosts(evidence),
+        _check_planned_stops(evidence),
         evidence.in_force,
         evidence.reverts,
     ]
 
 
-def _judge_flows(evidence: Evidence) -> PromiseTally:
-    tally = PromiseTally(Promise.flows)
+def _check_flows(evidence: Evidence) -> InvariantTally:
+    tally = InvariantTally(Invariant.flows)
     for flow in evidence.flows:
         if flow['result'] == 'refused':
             continue
         whole = flow['result'] == 'whole'
         tally.check(
-            holds=whole or _flow_is_excused(evidence, flow),
+            holds=whole or _is_loss_expected(evidence, flow),
             example=flow,
         )
     return tally
 
 
-def _flow_is_excused(evidence: Evidence, flow: dict[str, Any]) -> bool:
-    """Whether the flow ended with its host, data centre or entry.
+def _is_loss_expected(evidence: Evidence, flow: dict[str, Any]) -> bool:
+    """Return whether the flow ended with its host, data centre or entry.
 
-    A flow without an answer yet does not know its host; then any loss of a
-    host or data centre at that time is taken for its own.
+    The host of a flow without an answer is unknown; any loss of a host or
+    data centre during such a flow then counts as its cause.
     """
     faults = evidence.disturbances
     host = evidence.fleet.hosts.get(flow['host'])
-    start = flow['opened_at'] - _MOMENT_SECONDS
+    start = flow['opened_at'] - _START_MARGIN_SECONDS
     span = (start, flow['ended_at'])
-    centre = host.data_centre if host else None
-    named = flow['host'] or None
+    data_centre = host.data_centre if host else None
+    host_name = flow['host'] or None
     if any(
-        entry.start >= start and entry.overlaps(*span)
-        for entry in faults.of(Fault.host_killed)
-        if named in {None, entry.name}
+        disturbance.start >= start and disturbance.overlaps(*span)
+        for disturbance in faults.of_kind(Fault.host_killed)
+        if host_name in {None, disturbance.name}
     ):
         return True
-    if faults.touched((Fault.centre_out,), centre, *span):
+    if faults.affected((Fault.data_centre_out,), data_centre, *span):
         return True
     if flow['ingress'] != 'tcp':
         return False
     return any(
-        entry.start >= start and entry.overlaps(*span)
-        for entry in faults.of(Fault.entry_killed)
-        if _is_at(evidence.fleet, flow['entry'], entry.name)
+        disturbance.start >= start and disturbance.overlaps(*span)
+        for disturbance in faults.of_kind(Fault.entry_killed)
+        if _is_entry_endpoint(evidence.fleet, flow['entry'], disturbance.name)
     )
 
 
-def _is_at(fleet: Fleet, place: str, name: str) -> bool:
-    """Whether a caller's ``IP:PORT`` or URL is at an entry."""
-    number = place.removeprefix('http://').partition(':')[0]
-    return fleet.entries[name].address == number
+def _is_entry_endpoint(fleet: Fleet, endpoint: str, name: str) -> bool:
+    """Return whether an ``IP:PORT`` or URL belongs to an entry."""
+    address = endpoint.removeprefix('http://').partition(':')[0]
+    return fleet.entries[name].address == address
 
 
-def _judge_services(evidence: Evidence) -> PromiseTally:
-    tally = PromiseTally(Promise.service)
-    for seen in evidence.upstreams:
-        host = evidence.fleet.hosts[seen['name']]
+def _check_services(evidence: Evidence) -> InvariantTally:
+    tally = InvariantTally(Invariant.service)
+    for stats in evidence.upstreams:
+        host = evidence.fleet.hosts[stats['name']]
         port = evidence.fleet.services[host.service]['fou']
-        wrong = [
+        wrong_targets = [
             target
-            for target in seen['targets']
+            for target in stats['targets']
             if not target.endswith(f':{port}')
         ]
-        tally.chances += sum(seen['arrivals'].values())
-        for target in wrong:
-            tally.check(holds=False, example=(seen['name'], target))
+        tally.chances += sum(stats['arrivals'].values())
+        for target in wrong_targets:
+            tally.check(holds=False, example=(stats['name'], target))
     return tally
 
 
-def _judge_cold(evidence: Evidence) -> PromiseTally:
-    tally = PromiseTally(Promise.cold)
-    for seen in evidence.upstreams:
+def _check_cold_limits(evidence: Evidence) -> InvariantTally:
+    tally = InvariantTally(Invariant.cold)
+    for stats in evidence.upstreams:
         tally.check(
-            holds=not seen['over_limit'],
-            example=(seen['name'], seen['over_limit']),
+            holds=not stats['over_limit'],
+            example=(stats['name'], stats['over_limit']),
         )
     return tally
 
 
-def _judge_out(evidence: Evidence) -> PromiseTally:
-    tally = PromiseTally(Promise.out)
-    for entry in evidence.disturbances.of(Fault.centre_out):
-        for seen in evidence.upstreams:
-            host = evidence.fleet.hosts[seen['name']]
-            if host.data_centre != entry.name:
+def _check_data_centres_out(evidence: Evidence) -> InvariantTally:
+    tally = InvariantTally(Invariant.out)
+    for disturbance in evidence.disturbances.of_kind(Fault.data_centre_out):
+        for stats in evidence.upstreams:
+            host = evidence.fleet.hosts[stats['name']]
+            if host.data_centre != disturbance.name:
                 continue
-            late = _between(evidence, seen['arrivals'], entry)
-            tally.check(holds=not late, example=(seen['name'], late))
+            late_count = _count_after_grace(
+                evidence, stats['arrivals'], disturbance
+            )
+            tally.check(
+                holds=not late_count, example=(stats['name'], late_count)
+            )
     return tally
 
 
-def _judge_leaving(evidence: Evidence) -> PromiseTally:
-    tally = PromiseTally(Promise.leaving)
+def _check_leaving_hosts(evidence: Evidence) -> InvariantTally:
+    tally = InvariantTally(Invariant.leaving)
     faults = evidence.disturbances
-    for entry in faults.of(Fault.host_drained, Fault.host_leaving):
-        for seen in evidence.upstreams:
-            if seen['name'] != entry.name:
+    for disturbance in faults.of_kind(Fault.host_drained, Fault.host_leaving):
+        for stats in evidence.upstreams:
+            if stats['name'] != disturbance.name:
                 continue
-            late = _between(evidence, seen['starts'], entry)
-            example = (seen['name'], entry.fault, late)
-            tally.check(holds=not late, example=example)
+            late_count = _count_after_grace(
+                evidence, stats['starts'], disturbance
+            )
+            example = (stats['name'], disturbance.fault, late_count)
+            tally.check(holds=not late_count, example=example)
     return tally
 
 
-def _between(
+def _count_after_grace(
     evidence: Evidence,
     buckets: dict[str, int],
-    entry: Disturbance,
+    disturbance: Disturbance,
 ) -> int:
-    """Count what came between the grace after a change and its end.
+    """Count arrivals from the end of a change's grace period to its end.
 
-    Nobody can learn of a change while the platform is down; the grace then
-    starts when it is back.
+    No process can learn of a change while the platform is down or stale; the
+    grace period then starts when the platform has recovered.
     """
-    start = entry.start
-    for down in evidence.disturbances.of(
+    start = disturbance.start
+    for outage in evidence.disturbances.of_kind(
         Fault.platform_down,
         Fault.platform_stale,
     ):
-        if down.overlaps(start, start + _GRACE_SECONDS):
-            start = max(start, down.end)
-    first = (start + _GRACE_SECONDS) * _BUCKETS_A_SECOND
-    last = entry.end * _BUCKETS_A_SECOND - 1
+        if outage.overlaps(start, start + _GRACE_SECONDS):
+            start = max(start, outage.end)
+    first_bucket = (start + _GRACE_SECONDS) * _BUCKETS_PER_SECOND
+    last_bucket = disturbance.end * _BUCKETS_PER_SECOND - 1
     return sum(
         count
         for bucket, count in buckets.items()
-        if first <= int(bucket) < last
+        if first_bucket <= int(bucket) < last_bucket
     )
 
 
-def _runs(evidence: Evidence) -> Counter[str]:
+def _count_runs(evidence: Evidence) -> Counter[str]:
     runs: Counter[str] = Counter()
-    for seen in evidence.upstreams:
-        runs.update(seen['runs'])
+    for stats in evidence.upstreams:
+        runs.update(stats['runs'])
     return runs
 
 
-def _judge_requests(evidence: Evidence) -> Iterable[PromiseTally]:
-    whole = PromiseTally(Promise.whole)
-    not_run = PromiseTally(Promise.not_run)
-    once = PromiseTally(Promise.once)
-    runs = _runs(evidence)
+def _check_requests(evidence: Evidence) -> Iterable[InvariantTally]:
+    whole = InvariantTally(Invariant.whole)
+    not_run = InvariantTally(Invariant.not_run)
+    once = InvariantTally(Invariant.once)
+    runs = _count_runs(evidence)
     for request in evidence.requests:
-        ran = runs[request['key']]
-        example = {**request, 'runs': ran}
+        run_count = runs[request['key']]
+        example = {**request, 'runs': run_count}
         outcome = request['outcome']
         if outcome in {'whole', 'crossed'}:
             whole.check(holds=outcome == 'whole', example=example)
         if outcome == 'not-run' and not request['doubted']:
-            not_run.check(holds=not ran, example=example)
+            not_run.check(holds=not run_count, example=example)
         if not request['idempotent']:
-            once.check(holds=ran <= 1, example=example)
+            once.check(holds=run_count <= 1, example=example)
     return whole, not_run, once
 
 
-#: What may cut a request without anybody having planned it.
-_UNPLANNED = (
+#: Faults that may interrupt a request and are not planned changes.
+_UNPLANNED_FAULTS = (
     Fault.entry_killed,
     Fault.host_killed,
     Fault.entry_paused,
@@ -261,26 +282,31 @@
 )
 
 
-def _judge_graceful(evidence: Evidence) -> PromiseTally:
-    tally = PromiseTally(Promise.graceful)
+def _check_planned_stops(evidence: Evidence) -> InvariantTally:
+    tally = InvariantTally(Invariant.graceful)
     faults = evidence.disturbances
     for code in evidence.exit_codes:
         tally.check(holds=code == 0, example=('exit code', code))
     for request in evidence.requests:
         span = (request['started_at'], request['ended_at'] or float('inf'))
-        asked = request['lost_at'] or request['entry']
+        entry_endpoint = request['lost_at'] or request['entry']
         stops = [
-            entry
-            for entry in faults.of(Fault.entry_stopped)
-            if entry.overlaps(*span)
-            and (not asked or _is_at(evidence.fleet, asked, entry.name))
+            disturbance
+            for disturbance in faults.of_kind(Fault.entry_stopped)
+            if disturbance.overlaps(*span)
+            and (
+                not entry_endpoint
+                or _is_entry_endpoint(
+                    evidence.fleet, entry_endpoint, disturbance.name
+                )
+            )
         ]
         if not stops:
             continue
         unknown = request['outcome'] == 'unknown' and not request['doubted']
         cut = unknown or request['lost_at']
-        excused = faults.touched(
-            _UNPLANNED,
+        excused = faults.affected(
+            _UNPLANNED_FAULTS,
             None,
             span[0] - _ANSWER_SECONDS,
             span[1],
--- a/siskinbank/lab/report.py
+++ b/siskinbank/lab/report.py
@@ -1,4 +1,4 @@
-"""One HTML page with the experiments' figures and pictures."""
+"""Render reports of experiments as one HTML page."""
 
 import base64
 import html
@@ -6,7 +6,7 @@
 
 from siskinbank import __version__
 from siskinbank.lab.experiment import ExperimentReport
-from siskinbank.lab.plots import draw, panels_of
+from siskinbank.lab.plots import draw, make_panels
 
 __all__ = ('write_page',)
 
@@ -25,22 +25,22 @@
     reports: Sequence[ExperimentReport],
     failed: dict[str, str],
 ) -> str:
-    """Return the page.
+    """Return the HTML page.
 
     Args:
-        reports: what was measured.
-        failed: the experiments that could not be run, with the error.
+        reports: reports of the experiments that ran.
+        failed: error messages of the experiments that did not run, by name.
 
     Raises:
         ImportError: matplotlib is not installed.
     """
     body = ['<h1>siskinbank: experiments</h1>', _summary(reports, failed)]
     body.extend(_section(report) for report in reports)
-    head = (
+    header = (
         '<!doctype html>\n<html lang="en">\n<meta charset="utf-8">\n'
         f'<title>siskinbank experiments</title>\n<style>{_STYLE}</style>'
     )
-    return '\n'.join((head, *body, '</html>\n'))
+    return '\n'.join((header, *body, '</html>\n'))
 
 
 def _summary(
@@ -60,25 +60,25 @@
         _row(html.escape(name), '', '', f'not run: {html.escape(error)}')
         for name, error in failed.items()
     )
-    head = _row('experiment', 'seed', 'bounds', 'verdict', tag='th')
+    header = _row('experiment', 'seed', 'bounds', 'verdict', tag='th')
     return (
         f'<p>Version {__version__}. Each experiment runs the real decision '
         'code, and a naive version on the same seed.</p>'
-        '<table>{0}{1}</table>'.format(head, ''.join(rows))
+        '<table>{0}{1}</table>'.format(header, ''.join(rows))
     )
 
 
 def _section(report: ExperimentReport) -> str:
     name = html.escape(report.experiment)
     parts = [f'<h2 id="{name}">{name}</h2>']
-    panels = panels_of(report)
+    panels = make_panels(report)
     if panels:
         picture = base64.b64encode(draw(panels)).decode()
         parts.append(
             f'<img alt="{name}, siskinbank beside naive" '
             f'src="data:image/png;base64,{picture}">',
         )
-    head = _row('bound', 'target', 'measured', 'verdict', tag='th')
+    header = _row('bound', 'target', 'measured', 'verdict', tag='th')
     rows = [
         _row(
             html.escape(bound.name),
@@ -88,13 +88,13 @@
         )
         for bound in report.bounds
     ]
-    parts.append('<table>{0}{1}</table>'.format(head, ''.join(rows)))
+    parts.append('<table>{0}{1}</table>'.format(header, ''.join(rows)))
     return '\n'.join(parts)
 
 
 def _row(*cells: str, tag: str = 'td') -> str:
-    written = ''.join(f'<{tag}>{cell}</{tag}>' for cell in cells)
-    return f'<tr>{written}</tr>'
+    formatted_cells = ''.join(f'<{tag}>{cell}</{tag}>' for cell in cells)
+    return f'<tr>{formatted_cells}</tr>'
 
 
 def _verdict(*, holds: bool) -> str:
--- a/tests/lab/test_promises.py
+++ b/tests/lab/test_promises.py
@@ -1,4 +1,4 @@
-"""Tests of the soak's judge: it sees violations and excuses no more."""
+"""Test that soak checks detect violations and excuse expected losses only."""
 
 import unittest
 from typing import Any
@@ -6,7 +6,7 @@
 from siskinbank.lab.disturbances import Disturbance, Disturbances, Fault
 from siskinbank.lab.fleet import Fleet, FleetPlan
 from siskinbank.lab.instances import EntryPorts, HostPorts
-from siskinbank.lab.promises import Evidence, Promise, judge
+from siskinbank.lab.promises import Evidence, Invariant, check_invariants
 
 HOST = 'matcher-1'
 PORT = 443
@@ -28,7 +28,7 @@
     'doubted': False,
     'lost_at': '',
 }
-SEEN = {
+STATS = {
     'name': HOST,
     'targets': [f'10.77.0.1:{PORT}'],
     'arrivals': {},
@@ -38,13 +38,13 @@
 }
 
 
-def violated(
+def find_violations(
     faults: list[Disturbance],
-    seen: dict[str, Any],
+    stats: dict[str, Any],
     flow: dict[str, Any],
     request: dict[str, Any],
 ) -> set[str]:
-    """Return the promises that are violated."""
+    """Return the invariants that are violated."""
     fleet = Fleet(FleetPlan('s', ('a',), 1, {'matcher': 1}))
     fleet.hosts[HOST] = HostPorts('matcher', 'a', 1, 2, 3, 4, 5)
     fleet.entries['entry-1'] = EntryPorts('a', '127.0.0.2', 1, 2, 3)
@@ -54,50 +54,54 @@
         Disturbances(faults),
         [{**FLOW, **flow}],
         [{**REQUEST, **request}],
-        [{**SEEN, **seen}],
+        [{**STATS, **stats}],
     )
-    return {tally.promise for tally in judge(evidence) if tally.violations}
+    return {
+        tally.invariant
+        for tally in check_invariants(evidence)
+        if tally.violations
+    }
 
 
 WHOLE = {'result': 'whole'}
-OUT = Disturbance(Fault.centre_out, 'a', 100, 200)
+OUT = Disturbance(Fault.data_centre_out, 'a', 100, 200)
 DRAIN = Disturbance(Fault.host_drained, HOST, 100, 200)
 STOP = Disturbance(Fault.entry_stopped, 'entry-1', 99, 120)
-#: Faults, what the upstream saw, flow, request, and the promises violated.
+#: Faults, upstream statistics, flow, request, and the violated invariants.
 CASES: tuple[tuple[list[Disturbance], Any, Any, Any, set[str]], ...] = (
     ([], {}, WHOLE, {}, set()),
-    ([], {}, {}, {}, {Promise.flows}),
+    ([], {}, {}, {}, {Invariant.flows}),
     ([Disturbance(Fault.host_killed, HOST, 105, 109)], {}, {}, {}, set()),
     (
         [Disturbance(Fault.host_killed, HOST, 90, 99)],
         {},
         {},
         {},
-        {Promise.flows},
+        {Invariant.flows},
     ),
     ([OUT], {}, {}, {}, set()),
-    ([DRAIN], {}, {}, {}, {Promise.flows}),
-    ([], {'targets': ['10.77.0.2:80']}, WHOLE, {}, {Promise.service}),
-    ([], {'over_limit': 1}, WHOLE, {}, {Promise.cold}),
-    ([OUT], {'arrivals': {'1500': 1}}, WHOLE, {}, {Promise.out}),
+    ([DRAIN], {}, {}, {}, {Invariant.flows}),
+    ([], {'targets': ['10.77.0.2:80']}, WHOLE, {}, {Invariant.service}),
+    ([], {'over_limit': 1}, WHOLE, {}, {Invariant.cold}),
+    ([OUT], {'arrivals': {'1500': 1}}, WHOLE, {}, {Invariant.out}),
     ([OUT], {'arrivals': {'1010': 1}}, WHOLE, {}, set()),
-    ([DRAIN], {'starts': {'1500': 1}}, WHOLE, {}, {Promise.leaving}),
-    ([], {}, WHOLE, {'outcome': 'crossed'}, {Promise.whole}),
-    ([], {}, WHOLE, {'outcome': 'not-run'}, {Promise.not_run}),
-    ([], {'runs': {'k': 2}}, WHOLE, {}, {Promise.once}),
-    ([STOP], {}, WHOLE, {'outcome': 'unknown'}, {Promise.graceful}),
+    ([DRAIN], {'starts': {'1500': 1}}, WHOLE, {}, {Invariant.leaving}),
+    ([], {}, WHOLE, {'outcome': 'crossed'}, {Invariant.whole}),
+    ([], {}, WHOLE, {'outcome': 'not-run'}, {Invariant.not_run}),
+    ([], {'runs': {'k': 2}}, WHOLE, {}, {Invariant.once}),
+    ([STOP], {}, WHOLE, {'outcome': 'unknown'}, {Invariant.graceful}),
     ([], {}, WHOLE, {'outcome': 'unknown'}, set()),
 )
 
 
-class TestJudge(unittest.TestCase):
-    """Each promise can be violated, and each excuse has its bounds."""
+class TestCheckInvariants(unittest.TestCase):
+    """Test violations of each invariant and the limits of each excuse."""
 
     def test_cases(self) -> None:
-        """The judge names just the promises that are violated."""
-        for faults, seen, flow, request, expected in CASES:
-            with self.subTest(faults=faults, seen=seen, request=request):
+        """Check that exactly the violated invariants are reported."""
+        for faults, stats, flow, request, expected in CASES:
+            with self.subTest(faults=faults, stats=stats, request=request):
                 self.assertEqual(
-                    violated(faults, seen, flow, request),
+                    find_violations(faults, stats, flow, request),
                     expected,
                 )
--- a/tests/lab/test_report.py
+++ b/tests/lab/test_report.py
@@ -1,10 +1,10 @@
-"""Tests of the page with the experiments' figures."""
+"""Test the HTML page with the experiments' figures."""
 
 import unittest
 
 from siskinbank.lab.commands.report import experiments
 from siskinbank.lab.experiment import Bound, ExperimentReport
-from siskinbank.lab.plots import draw, panels_of
+from siskinbank.lab.plots import draw, make_panels
 from siskinbank.lab.report import write_page
 
 REPORT = ExperimentReport(
@@ -17,20 +17,20 @@
 
 
 class TestReport(unittest.TestCase):
-    """What readers see."""
+    """Test the panels, the page and the list of experiments."""
 
     def test_panels(self) -> None:
-        """Namesakes, curves and related figures get a panel each."""
-        panels = {panel.title: panel for panel in panels_of(REPORT)}
+        """Check that same-named figures, curves and related figures get panels."""
+        panels = {panel.title: panel for panel in make_panels(REPORT)}
         self.assertEqual(set(panels), {'rate', 'curve', 'broken'})
         self.assertTrue(panels['curve'].has_curves)
-        sizes = [figure.size for figure in panels['broken'].shown]
-        self.assertEqual(sizes, [0, 7])
+        bar_values = [figure.value for figure in panels['broken'].series]
+        self.assertEqual(bar_values, [0, 7])
         picture = draw(list(panels.values()))
         self.assertTrue(picture.startswith(b'\x89PNG'))
 
     def test_page(self) -> None:
-        """Bounds that do not hold and experiments not run are said so."""
+        """Check that the page shows failed bounds and experiments not run."""
         page = write_page([REPORT], {'absent': 'no <socket>'})
         for part in (
             'does not hold',
@@ -42,7 +42,7 @@
                 self.assertIn(part, page)
 
     def test_finds_experiments(self) -> None:
-        """Every experiment is found, and no stand-in or trial is."""
+        """Check that only experiments are found, no stand-ins or other commands."""
         found = experiments()
         self.assertLessEqual({'flows', 'forwarding', 'key-cost'}, set(found))
         self.assertFalse({'demo', 'soak', 'platform', 'report'} & set(found))
