--- a/siskinbank/lab/soak.py
+++ b/siskinbank/lab/soak.py
@@ -13,9 +13,9 @@
 import aiohttp
 
 from siskinbank.lab.disturbances import Fault
+from siskinbank.lab.fault_injector import FaultInjector
 from siskinbank.lab.fleet import Fleet, FleetPlan
-from siskinbank.lab.promises import Evidence, InvariantTally, check_invariants
-from siskinbank.lab.soak_faults import FaultInjector
+from siskinbank.lab.invariants import Evidence, InvariantTally, check_invariants
 
 __all__ = ('SoakReport', 'run_soak')
 
--- a/tests/lab/test_promises.py
+++ b/tests/lab/test_invariants.py
@@ -6,7 +6,7 @@
 from siskinbank.lab.disturbances import Disturbance, Disturbances, Fault
 from siskinbank.lab.fleet import Fleet, FleetPlan
 from siskinbank.lab.instances import EntryPorts, HostPorts
-from siskinbank.lab.promises import Evidence, Invariant, check_invariants
+from siskinbank.lab.invariants import Evidence, Invariant, check_invariants
 
 HOST = 'matcher-1'
 PORT = 443
