--- a/siskinbank/lab/faulty_link.py
+++ b/siskinbank/lab/faulty_link.py
@@ -16,13 +16,17 @@
 
 __all__ = ('Fault', 'FaultyLink', 'LinkFaults')
 
+#: Length of the message in bytes, and its sequence number.
 _HEADER = struct.Struct('!IQ')
-_RAW_BYTES = 16 * 1024
+_READ_BYTES = 16 * 1024
 
 
 @dataclass(slots=True)
 class LinkFaults:
-    """Probability of each fault per frame, and the longest delay in seconds."""
+    """Probability of each fault per frame, and the longest delay in seconds.
+
+    ``cut`` aborts the connection; ``double`` sends the frame twice.
+    """
 
     lose: float = 0
     double: float = 0
@@ -197,7 +201,7 @@
 
     async def _read(self, reader: asyncio.StreamReader) -> bytes:
         if not self._frames:
-            return await reader.read(_RAW_BYTES)
+            return await reader.read(_READ_BYTES)
         try:
             header = await reader.readexactly(_HEADER.size)
         except asyncio.IncompleteReadError:
--- a/siskinbank/lab/fleet.py
+++ b/siskinbank/lab/fleet.py
@@ -53,7 +53,23 @@
 
 @dataclass(slots=True)
 class Fleet:
-    """The running processes and what the platform publishes."""
+    """The running processes and what the platform publishes.
+
+    Attributes:
+        plan: size and limits of the fleet.
+        processes: the running processes by name.
+        hosts: ports of each host by name.
+        entries: address and ports of each entry by name.
+        services: port of each ingress, by service.
+        document: the configuration to publish.
+        instances: the live list to publish.
+        generation: generation of the published configuration.
+        platform_port: port of the platform.
+        fabric_port: port at which the fabric receives packets.
+        callers_port: port at which callers receive answers to packets.
+        log_level: log level of the entries and sidecars.
+        key: key that the entries and sidecars share.
+    """
 
     plan: FleetPlan
     processes: ProcessGroup = field(default_factory=ProcessGroup)
@@ -111,11 +127,11 @@
         return ports
 
     async def publish(self, earlier: dict[str, Any] | None = None) -> None:
-        """Publish the document as the next generation.
+        """Publish the document as the next generation, or an earlier one again.
 
         Args:
             earlier: result of ``published`` to publish instead, with its
-                generation.
+                generation, as a platform with stale data does.
         """
         if earlier is None:
             self.generation += 1
@@ -188,9 +204,11 @@
             name,
             [
                 'entry',
-                *self._common(name, entry.data_centre, entry.bind, entry.admin),
+                *self._common_arguments(
+                    name, entry.data_centre, entry.bind, entry.admin
+                ),
                 '--fou',
-                self._local(entry.fou),
+                self._endpoint(entry.fou),
                 '--listen',
                 entry.address,
             ],
@@ -203,15 +221,17 @@
             name,
             [
                 'sidecar',
-                *self._common(name, host.data_centre, host.sidecar, host.admin),
+                *self._common_arguments(
+                    name, host.data_centre, host.sidecar, host.admin
+                ),
                 '--upstream-packets',
-                self._local(host.packets),
+                self._endpoint(host.packets),
                 '--upstream-tcp',
-                self._local(host.tcp),
+                self._endpoint(host.tcp),
                 '--upstream-http',
-                f'http://{self._local(host.http)}',
+                f'http://{self._endpoint(host.http)}',
                 '--upstream-health',
-                f'http://{self._local(host.http)}/health',
+                f'http://{self._endpoint(host.http)}/health',
             ],
         )
 
@@ -226,13 +246,13 @@
                 '--name',
                 name,
                 '--packets',
-                self._local(host.packets),
+                self._endpoint(host.packets),
                 '--tcp',
-                self._local(host.tcp),
+                self._endpoint(host.tcp),
                 '--http',
-                self._local(host.http),
+                self._endpoint(host.http),
                 '--callers',
-                self._local(self.callers_port),
+                self._endpoint(self.callers_port),
                 '--slots',
                 str(self.plan.slots),
                 '--cold-slots',
@@ -252,10 +272,16 @@
         """Start the callers.
 
         Their report is the output of the process ``callers``.
+
+        Args:
+            seconds: time during which they open flows and send requests.
+            seed: seed of their random choices.
+            resent: share of the requests with a key that are sent twice.
+            burst: number of requests sent at once every two seconds.
         """
         arguments = [
-            f'--bind={self._local(self.callers_port)}',
-            f'--fabric={self._local(self.fabric_port)}',
+            f'--bind={self._endpoint(self.callers_port)}',
+            f'--fabric={self._endpoint(self.fabric_port)}',
             f'--seconds={seconds}',
             f'--seed={seed}',
             f'--resent={resent}',
@@ -279,7 +305,7 @@
         """Return the statistics of an upstream."""
         port = self.hosts[name].http
         stats: dict[str, Any] = await self.get(
-            f'http://{self._local(port)}/stats',
+            f'http://{self._endpoint(port)}/stats',
         )
         return stats
 
@@ -287,7 +313,7 @@
         """Return the status document of an entry or sidecar."""
         port = self.admin_ports()[name]
         status: dict[str, Any] = await self.get(
-            f'http://{self._local(port)}/status',
+            f'http://{self._endpoint(port)}/status',
         )
         return status
 
@@ -297,7 +323,7 @@
         Raises:
             TimeoutError: it did not serve in time.
         """
-        url = f'http://{self._local(self.hosts[name].http)}/stats'
+        url = f'http://{self._endpoint(self.hosts[name].http)}/stats'
         await self._wait_for(url)
 
     async def wait_generation(self, port: int, min_generation: int = 0) -> None:
@@ -310,7 +336,7 @@
         Raises:
             TimeoutError: the generation was not in force in time.
         """
-        url = f'http://{self._local(port)}/status'
+        url = f'http://{self._endpoint(port)}/status'
         async with asyncio.timeout(_START_SECONDS):
             while True:
                 try:
@@ -325,7 +351,7 @@
         """Stop all processes."""
         await self.processes.stop()
 
-    def _common(
+    def _common_arguments(
         self,
         name: str,
         data_centre: str,
@@ -338,9 +364,9 @@
             '--data-centre',
             data_centre,
             '--bind',
-            self._local(bind),
+            self._endpoint(bind),
             '--admin',
-            self._local(admin),
+            self._endpoint(admin),
             '--platform',
             self.platform,
             '--keys',
@@ -349,14 +375,15 @@
             self.log_level,
         ]
 
-    def _local(self, port: int) -> str:
+    def _endpoint(self, port: int) -> str:
+        """Return the loopback address with a port."""
         return f'{_LOOPBACK}:{port}'
 
     async def _start_platform(self) -> None:
-        self._plan_ports()
+        self._plan_instances()
         await self.processes.start(
             'platform',
-            ['lab', 'platform', '--bind', self._local(self.platform_port)],
+            ['lab', 'platform', '--bind', self._endpoint(self.platform_port)],
         )
         await self._wait_for(f'{self.platform}/v1/manifest')
         await self.publish()
@@ -364,7 +391,7 @@
 
     async def _start_fabric(self) -> None:
         targets = [
-            f'{name}={self._local(entry.fou)}'
+            f'{name}={self._endpoint(entry.fou)}'
             for name, entry in self.entries.items()
         ]
         await self.processes.start(
@@ -373,7 +400,7 @@
                 'lab',
                 'fabric',
                 '--bind',
-                self._local(self.fabric_port),
+                self._endpoint(self.fabric_port),
                 '--platform',
                 self.platform,
                 *targets,
@@ -396,7 +423,8 @@
                 else:
                     return
 
-    def _plan_ports(self) -> None:
+    def _plan_instances(self) -> None:
+        """Assign ports; create the first document and the live list."""
         plan = self.plan
         hosts = sum(plan.services.values())
         ports_per_host = 5
--- a/siskinbank/lab/network.py
+++ b/siskinbank/lab/network.py
@@ -37,10 +37,10 @@
     """Delivers datagrams and runs callbacks in the order of virtual time.
 
     Attributes:
-        loss: share of the datagrams that are lost.
+        loss: probability that a datagram is lost, if it may be lost.
         may_lose: returns whether a datagram may be lost.
         cut: returns whether the path from sender to receiver is cut.
-        watch: called with each datagram that is delivered and its receiver.
+        watch: called with each delivered datagram and its receiver.
         datagrams: number of datagrams sent.
         octets: number of bytes sent.
     """
@@ -66,9 +66,9 @@
         self._queue: list[tuple[float, int, Callable[[], None]]] = []
         self._order = itertools.count()
         self.loss: float = 0
-        self.may_lose: Callable[[bytes], bool] = _may_lose_all
+        self.may_lose: Callable[[bytes], bool] = _may_lose_any
         self.cut: Callable[[Address, Address], bool] = _never_cut
-        self.watch: Handler = _watch_nothing
+        self.watch: Handler = _ignore_datagram
         self.datagrams = 0
         self.octets = 0
 
@@ -124,9 +124,9 @@
     return False
 
 
-def _may_lose_all(_datagram: bytes) -> bool:
+def _may_lose_any(_datagram: bytes) -> bool:
     return True
 
 
-def _watch_nothing(_datagram: bytes, _receiver: Address) -> None:
+def _ignore_datagram(_datagram: bytes, _receiver: Address) -> None:
     """Ignore a datagram."""
--- a/siskinbank/lab/ports.py
+++ b/siskinbank/lab/ports.py
@@ -6,7 +6,7 @@
 
 
 def free_ports(count: int, address: str = '127.0.0.1') -> list[int]:
-    """Return ports that the kernel had free for both TCP and UDP.
+    """Return ``count`` ports that are free for both TCP and UDP.
 
     Another process may bind them before the caller does.
     """
--- a/siskinbank/lab/processes.py
+++ b/siskinbank/lab/processes.py
@@ -7,7 +7,7 @@
 
 __all__ = ('ProcessGroup',)
 
-_STOP_SECONDS = 10
+_STOP_TIMEOUT_SECONDS = 10
 
 
 class ProcessGroup:
@@ -87,11 +87,11 @@
             self.signal(started, signal.SIGCONT)
             self.signal(started, signal.SIGTERM)
         await asyncio.gather(
-            *(self.wait(name, _STOP_SECONDS) for name in names)
+            *(self.wait(name, _STOP_TIMEOUT_SECONDS) for name in names)
         )
-        for left in names:
-            self.signal(left, signal.SIGKILL)
-            await self.wait(left, _STOP_SECONDS)
+        for remaining in names:
+            self.signal(remaining, signal.SIGKILL)
+            await self.wait(remaining, _STOP_TIMEOUT_SECONDS)
 
 
 def _own_command() -> list[str]:
--- a/siskinbank/lab/real_fleet.py
+++ b/siskinbank/lab/real_fleet.py
@@ -15,6 +15,7 @@
 _CENTRES = ('north-a', 'north-b', 'south-a', 'south-b')
 _ENTRY_SHARE = 0.25
 _START_BATCH_SIZE = 8
+#: Index of utime in /proc/PID/stat after the command name; stime is next.
 _UTIME_FIELD = 11
 
 
@@ -23,10 +24,10 @@
     """Measurements of processes that handle control traffic only.
 
     Attributes:
-        processes: number of processes.
+        processes: number of processes measured.
         core_share: mean share of a core that a process used.
         bytes_a_second: mean control bytes per second that a process sent.
-        kilobytes: largest private memory of a process, by role.
+        kilobytes: largest private memory of a process in kilobytes, by role.
     """
 
     processes: int
@@ -67,11 +68,11 @@
 
 async def _measure(fleet: Fleet) -> ProcessFigures:
     names = list(fleet.admin_ports())
-    ids = {name: fleet.processes.pid(name) for name in names}
+    pids = {name: fleet.processes.pid(name) for name in names}
     before = await _control_bytes(fleet, names)
-    ticks = {name: _cpu_ticks(ids[name]) for name in names}
+    ticks = {name: _cpu_ticks(pids[name]) for name in names}
     await asyncio.sleep(_MEASURE_SECONDS)
-    used = sum(_cpu_ticks(ids[name]) - ticks[name] for name in names)
+    used = sum(_cpu_ticks(pids[name]) - ticks[name] for name in names)
     sent = await _control_bytes(fleet, names) - before
     seconds = _MEASURE_SECONDS * len(names)
     roles = {'entry': list(fleet.entries), 'sidecar': list(fleet.hosts)}
@@ -80,7 +81,7 @@
         used / os.sysconf('SC_CLK_TCK') / seconds,
         sent / seconds,
         {
-            role: max(private_kilobytes(ids[name]) for name in members)
+            role: max(private_kilobytes(pids[name]) for name in members)
             for role, members in roles.items()
         },
     )
@@ -94,8 +95,8 @@
     )
 
 
-def _cpu_ticks(process: int) -> int:
+def _cpu_ticks(pid: int) -> int:
     """Return the CPU time of a process in clock ticks."""
-    stat = Path(f'/proc/{process}/stat').read_text('ascii')
+    stat = Path(f'/proc/{pid}/stat').read_text('ascii')
     fields = stat.rpartition(')')[2].split()
     return int(fields[_UTIME_FIELD]) + int(fields[_UTIME_FIELD + 1])
--- a/siskinbank/lab/rig/client.py
+++ b/siskinbank/lab/rig/client.py
@@ -27,7 +27,7 @@
 
     Attributes:
         port: the client's port.
-        target: address that the flow goes to.
+        target: address and port that the flow is opened to.
         number: next sequence number to send.
         acknowledged: acknowledgement number to send.
         answers: packets received and not read yet.
@@ -94,6 +94,7 @@
         flow = ClientFlow(self._next_port, target, random.randrange(1 << 31))
         self._flows[flow.port] = flow
         for copy, wait in enumerate(_SYN_TIMEOUTS_S):
+            # The acknowledgement number of a SYN is the number of its copy.
             self._send(flow, SYN, acknowledged=copy)
             answer = await _receive(flow, wait)
             if answer:
@@ -101,32 +102,42 @@
                 flow.acknowledged = answer.number + 1
                 self._send(flow, ACK)
                 return flow
-        raise FlowFailed('no answer')
+        raise FlowFailed('no answer to the first packet')
 
-    async def ask(self, flow: ClientFlow, name: str, length: int = 0) -> str:
+    async def ask(
+        self,
+        flow: ClientFlow,
+        request_id: str,
+        length: int = 0,
+    ) -> str:
         """Send a request and return the body of the answer.
 
+        Args:
+            flow: open flow on which the request is sent.
+            request_id: id of the request.
+            length: length of its body in bytes.
+
         Raises:
             FlowFailed: the flow was reset, or no answer came.
         """
-        content = request_bytes(name, length)
+        content = request_bytes(request_id, length)
         for wait in _RETRANSMIT_TIMEOUTS_S:
             self._send(flow, ACK, content)
             body = await self._receive_body(flow, wait)
             if body is not None:
                 flow.number += len(content)
                 return body
-        raise FlowFailed('no answer')
+        raise FlowFailed('no answer to the request')
 
-    async def request(self, target: tuple[str, int], name: str) -> str:
-        """Send one request over a flow of its own."""
+    async def request(self, target: tuple[str, int], request_id: str) -> str:
+        """Send one request over a new flow; return the body of the answer."""
         flow = await self.connect(target)
-        body = await self.ask(flow, name)
+        body = await self.ask(flow, request_id)
         self._send(flow, FIN | ACK)
         return body
 
     def send_raw(self, datagram: bytes) -> None:
-        """Send a datagram to the entry as it is."""
+        """Send a datagram to the entry without changes."""
         if self._transport:
             self._transport.sendto(datagram, (self.entry, self._port))
 
@@ -169,5 +180,5 @@
         # The caller retransmits.
         return None
     if packet.flags & RST:
-        raise FlowFailed('reset')
+        raise FlowFailed('the flow was reset')
     return packet
--- a/siskinbank/lab/rig/fleet.py
+++ b/siskinbank/lab/rig/fleet.py
@@ -32,7 +32,7 @@
 _SERVICE = 'matcher'
 _STORE_PORT = 8169
 _HOST_PORT = 8165
-# Last numbers of loopback addresses.
+# Last bytes of loopback addresses.
 _FIRST_ENTRY_NUMBER = 1
 _FIRST_HOST_NUMBER = 20
 _FIRST_CLIENT_NUMBER = 100
@@ -154,22 +154,27 @@
         routes: list[RouteDocument],
         cold_per_s: float = 0,
     ) -> int:
-        """Write a new configuration and return its version."""
+        """Write a new configuration and return its version.
+
+        Args:
+            routes: routes of the configuration.
+            cold_per_s: ``WarmupPerS`` of each service.
+        """
         self._version += 3
         content = encode_configuration(self._version, routes, cold_per_s)
         await self.store.put(CONFIGURATION_KEY, content)
         return self._version
 
     async def register(self, index: int, **changes: object) -> None:
-        """Write a host's entry in the store, with some fields changed."""
+        """Write a host's document to the store, with some fields changed."""
         host = self.hosts[index]
-        entry = HostDocument(
+        document = HostDocument(
             _SERVICE,
             host.address,
             self.data_centre(index),
             **changes,  # type: ignore[arg-type]
         )
-        await self.store.put(f'{HOSTS_PREFIX}{host.name}', entry.encode())
+        await self.store.put(f'{HOSTS_PREFIX}{host.name}', document.encode())
 
     async def evacuate(self, data_centre: str) -> None:
         """Take a data centre out of service."""
--- a/siskinbank/lab/rig/host.py
+++ b/siskinbank/lab/rig/host.py
@@ -10,7 +10,7 @@
 __all__ = ('HostStandIn',)
 
 _PROCESSING_S = 0.005
-_ID_HEADER = b'Siskinbank-Attempt-Id: '
+_REQUEST_ID_HEADER = b'Siskinbank-Attempt-Id: '
 
 
 class HostStandIn(asyncio.DatagramProtocol):
@@ -20,7 +20,7 @@
         name: name of the host in its answers.
         address: address at which it receives packets.
         runs: ids of the requests that it has run.
-        accepted: client addresses of the flows that it has accepted.
+        accepted: client address of each first packet received, also of copies.
         unknown_flow_packets: number of packets of unknown flows.
         corrupt: number of packets received with a wrong checksum.
         processing_s: processing time of a request in seconds.
@@ -97,17 +97,17 @@
             self._reply(packet, FIN | ACK, packet.acknowledged)
             self._flows.pop(key)
             return
-        if _ID_HEADER in packet.content:
-            _, _, rest = packet.content.partition(_ID_HEADER)
-            name = rest.partition(b'\r\n')[0].decode()
+        if _REQUEST_ID_HEADER in packet.content:
+            _, _, rest = packet.content.partition(_REQUEST_ID_HEADER)
+            request_id = rest.partition(b'\r\n')[0].decode()
             loop = asyncio.get_running_loop()
-            loop.call_later(self.processing_s, self._finish(packet, name))
+            loop.call_later(self.processing_s, self._finish(packet, request_id))
 
-    def _finish(self, packet: Packet, name: str) -> Callable[[], None]:
+    def _finish(self, packet: Packet, request_id: str) -> Callable[[], None]:
         def finish() -> None:
-            if name not in self.runs:
-                self.runs.append(name)
-            content = answer_bytes(name, self.name)
+            if request_id not in self.runs:
+                self.runs.append(request_id)
+            content = answer_bytes(request_id, self.name)
             self._reply(packet, ACK, packet.acknowledged, content)
 
         return finish
--- a/siskinbank/lab/rig/store.py
+++ b/siskinbank/lab/rig/store.py
@@ -1,4 +1,4 @@
-"""A stand-in for the platform's store, with faults."""
+"""A stand-in for the platform's store that can fail and delay calls."""
 
 import asyncio
 from collections.abc import Callable
@@ -15,8 +15,8 @@
 _PAGE_SIZE = 50
 _OK = 200
 _GONE = 410
-_MISSING = 404
-_BUSY = 503
+_NOT_FOUND = 404
+_UNAVAILABLE = 503
 
 
 class StoreStandIn:
@@ -102,7 +102,7 @@
         await asyncio.sleep(self.delay_s)
         if self.silent:
             return
-        status, body = _BUSY, b'{}'
+        status, body = _UNAVAILABLE, b'{}'
         if not self.busy(ip):
             status, body = await self._result(read_store_call(path))
         head = f'HTTP/1.1 {status} -\r\nContent-Length: {len(body)}\r\n\r\n'
@@ -114,7 +114,7 @@
             return _OK, self._page(call)
         if call.kind == 'watch':
             return await self._watch(call)
-        return _MISSING, b'{}'
+        return _NOT_FOUND, b'{}'
 
     def _page(self, call: StoreCall) -> bytes:
         keys = sorted(
--- a/siskinbank/lab/standins/fabric.py
+++ b/siskinbank/lab/standins/fabric.py
@@ -5,9 +5,9 @@
 from collections.abc import Sequence
 
 from siskinbank.config.site import Address
-from siskinbank.peers.datagrams import open_udp
 from siskinbank.directory.client import PlatformClient, PlatformError
 from siskinbank.directory.live import InstanceState, Role
+from siskinbank.peers.datagrams import open_udp
 
 __all__ = ('FabricStandIn',)
 
--- a/siskinbank/lab/standins/health.py
+++ b/siskinbank/lab/standins/health.py
@@ -18,9 +18,9 @@
 class HealthMode(enum.StrEnum):
     """How the endpoint answers.
 
-    ``says_cold`` and ``says_bad`` report a state that is not the true one,
-    ``lags`` reports the state before a restart for the first seconds after
-    it, and ``hangs`` does not answer.
+    ``true`` reports the true state. ``says_cold`` and ``says_bad`` report a
+    state that is not the true one, ``lags`` reports the state before a restart
+    for the first seconds after it, and ``hangs`` does not answer.
     """
 
     true = 'true'
--- a/siskinbank/lab/standins/platform.py
+++ b/siskinbank/lab/standins/platform.py
@@ -32,7 +32,7 @@
 
     def application(self) -> web.Application:
         """Return the HTTP application to serve."""
-        app = web.Application(middlewares=[self._count])
+        app = web.Application(middlewares=[self._count_call])
         app.router.add_get('/v1/manifest', self._get_manifest)
         app.router.add_get('/v1/sections/{name:.+}', self._get_section)
         app.router.add_get('/v1/instances', self._get_instances)
@@ -50,7 +50,7 @@
             self._changed.notify_all()
 
     @web.middleware
-    async def _count(
+    async def _count_call(
         self,
         request: web.Request,
         handler: Any,
--- a/siskinbank/lab/standins/report.py
+++ b/siskinbank/lab/standins/report.py
@@ -9,8 +9,9 @@
 class FlowResult(enum.StrEnum):
     """The result of a flow.
 
-    ``silent`` means that the answers stopped, ``moved`` that an answer came
-    from another host or to other data.
+    ``whole`` means that the flow lasted until its caller closed it, ``silent``
+    that the answers stopped, and ``moved`` that an answer came from another
+    host or to other data.
     """
 
     whole = 'whole'
--- a/siskinbank/lab/standins/request_callers.py
+++ b/siskinbank/lab/standins/request_callers.py
@@ -39,8 +39,8 @@
         Args:
             urls: URLs of the services on the entries.
             seed: seed of the random choices.
-            resent: share of the requests that are not idempotent which is
-                sent a second time with the same key.
+            resent: share of the non-idempotent requests that are sent a
+                second time with the same key.
         """
         self._resent = resent
         self._urls = urls
@@ -67,7 +67,7 @@
         if idempotent or resends:
             await self._send_plain(service, report, resends=resends)
         else:
-            await self._send_once(service, report)
+            await self._send_with_ticket(service, report)
         report.ended_at = time.time()
 
     async def close(self) -> None:
@@ -82,7 +82,9 @@
         urls = [url for url in self._urls if _port(url) == port]
         return self._rng.sample(urls, len(urls))
 
-    async def _send_once(self, service: str, report: RequestReport) -> None:
+    async def _send_with_ticket(
+        self, service: str, report: RequestReport
+    ) -> None:
         work = Work(
             'POST',
             f'/match?pause={_PAUSE_SECONDS}',
@@ -114,7 +116,7 @@
                 resends = False
 
     async def _try_entry(self, url: str, report: RequestReport) -> bool:
-        """Send the request; return whether it is not to be tried elsewhere."""
+        """Send the request; return False if another entry is to be tried."""
         try:
             await self._post(url, report)
         except aiohttp.ClientConnectorError:
@@ -157,6 +159,6 @@
 
 
 def _check_answer(report: RequestReport, body: bytes, key: str) -> str:
-    """Return the outcome: whether an answer belongs to its request."""
+    """Return ``whole`` if the answer is to this request, else ``crossed``."""
     matches = body == f'match {report.key}'.encode() and key == report.key
     return 'whole' if matches else 'crossed'
--- a/siskinbank/lab/standins/upstream.py
+++ b/siskinbank/lab/standins/upstream.py
@@ -91,7 +91,14 @@
         await asyncio.start_server(self._echo, *address)
 
     async def serve_http(self, address: Address) -> None:
-        """Answer requests; ``/stats`` reports arrivals, starts and runs."""
+        """Answer requests, and report statistics at ``/stats``.
+
+        ``arrivals`` are packets received and ``starts`` are flows, connections
+        and requests begun, both in each tenth of a second; ``over_limit``
+        counts requests above the capacity of a cold start, ``targets`` lists
+        the addresses that packets were sent to, and ``runs`` counts the
+        executions of each request by its key.
+        """
         app = web.Application(client_max_size=1 << 30)
         app.router.add_get('/stats', self._stats)
         HealthEndpoint().add_to(app)
@@ -144,7 +151,8 @@
         writer: asyncio.StreamWriter,
     ) -> None:
         name = self._name.encode()
-        # A probe connects without sending, so the first byte starts the work.
+        # A health probe connects and sends nothing, so a connection counts as
+        # started when its first data arrives.
         is_first_chunk = True
         try:
             while chunk := await reader.read(_CHUNK_BYTES):
--- a/siskinbank/lab/virtual_fleet.py
+++ b/siskinbank/lab/virtual_fleet.py
@@ -28,14 +28,14 @@
 __all__ = ('CENTRES', 'VirtualFleet', 'VirtualPlatform')
 
 CENTRES = ('north-a', 'north-b', 'south-a', 'south-b')
-REGIONS = {name: name.split('-')[0] for name in CENTRES}
+_REGION_OF_CENTRE = {name: name.split('-')[0] for name in CENTRES}
 _ENTRY_SHARE = 410 / 3610
 _HOSTS_PER_SERVICE = 9
 _PORT = 7100
-_WATCH_SECONDS = 30
-_READ_CHECK_SECONDS = 0.5
+_WATCH_TIMEOUT_SECONDS = 30
+_READ_CHECK_INTERVAL_SECONDS = 0.5
 _CALL_LATENCY_SECONDS = 0.005
-_SYNC_SECONDS = 1.0
+_GOSSIP_INTERVAL_SECONDS = 1.0
 
 
 class VirtualPlatform:
@@ -46,9 +46,10 @@
         sections: sections by digest.
         instances: the live list.
         down: whether calls fail.
-        reachable_region: the only region that reaches the platform, or empty.
+        reachable_region: the only region that reaches the platform; empty if
+            all regions do.
         conflicting: region whose replica serves another manifest, and that
-            manifest.
+            manifest; None if all replicas serve the same one.
         calls: number of calls in each second.
         watchers: readers that wait for a change.
     """
@@ -74,8 +75,8 @@
 
     def reaches(self, centre: str) -> bool:
         """Return whether a data centre reaches the platform."""
-        wanted = self.reachable_region
-        return not wanted or not centre or REGIONS[centre] == wanted
+        region = self.reachable_region
+        return not region or not centre or _REGION_OF_CENTRE[centre] == region
 
     def serve_previous(self) -> None:
         """Serve the document before the latest one, as a stale replica does."""
@@ -92,7 +93,7 @@
         return total / max(len(seconds), 1)
 
     def add(self, sections: Iterable[bytes]) -> None:
-        """Add sections."""
+        """Store sections by digest."""
         for raw in sections:
             self.sections[bytes.fromhex(hex_digest(raw))] = raw
 
@@ -100,7 +101,7 @@
         """Return what the replica of a data centre's region serves."""
         if (
             self.conflicting is not None
-            and REGIONS[centre] == self.conflicting[0]
+            and _REGION_OF_CENTRE[centre] == self.conflicting[0]
         ):
             return self.conflicting[1]
         return self.manifest
@@ -115,7 +116,10 @@
 
 
 class VirtualReader:
-    """Reads the platform for one process, when the product would read it."""
+    """Reads the platform for one process, when the product would read it.
+
+    The product's own functions give the rank and the interval.
+    """
 
     def __init__(self, node: VirtualNode, platform: VirtualPlatform) -> None:
         """Initialize a reader of ``platform`` for ``node``."""
@@ -127,7 +131,9 @@
         self._backoff = Backoff(node.rng)
         self._retry_at: float = 0
         self._next_read: float = 0
-        node.timers.every(_READ_CHECK_SECONDS, self.read_if_due, jitter=0.2)
+        node.timers.every(
+            _READ_CHECK_INTERVAL_SECONDS, self.read_if_due, jitter=0.2
+        )
 
     def read_if_due(self) -> None:
         """Read the platform if a read is due for the process's rank."""
@@ -152,7 +158,7 @@
             self._next_read = 0
             return
         if rank is not None and rank < READERS_PER_DATA_CENTRE:
-            self._read_list(LIST_READ_SECONDS)
+            self._read_list(_LIST_READ_INTERVAL_SECONDS)
             self._watch()
         elif not self._next_read:
             self._next_read = now + interval
@@ -185,7 +191,7 @@
             )
         self._watching = True
         self._platform.watchers.append(self)
-        self.node.timers.after(_WATCH_SECONDS, self._end_watch)
+        self.node.timers.after(_WATCH_TIMEOUT_SECONDS, self._end_watch)
 
     def _end_watch(self) -> None:
         if self in self._platform.watchers:
@@ -225,7 +231,7 @@
         gossip.take_records(records)
 
 
-LIST_READ_SECONDS = READ_INTERVAL_SECONDS * READERS_PER_DATA_CENTRE
+_LIST_READ_INTERVAL_SECONDS = READ_INTERVAL_SECONDS * READERS_PER_DATA_CENTRE
 
 
 class VirtualFleet:
@@ -233,7 +239,7 @@
 
     Attributes:
         nodes: the running nodes by name.
-        stopped_nodes: the nodes that were killed.
+        stopped_nodes: the nodes that were killed or replaced by a restart.
         generation: number of the published generation.
         instances: all planned instances.
         document: the document to publish.
@@ -269,7 +275,7 @@
         """Start all nodes with generation 1 in force and the same roster."""
         self.publish()
         self.platform.instances = list(self.instances)
-        roster, _news = Roster().merged(
+        roster, _newer = Roster().merged(
             record_of(instance, 1) for instance in self.instances
         )
         first: VirtualNode | None = None
@@ -277,17 +283,21 @@
             node = self._create_node(instance)
             node.gossip.roster = roster
             if first is None:
-                self._load(node)
+                self._load_document(node)
                 first = node
             else:
                 node.gossip.store.copy_from(first.gossip.store)
             node.start()
-        self.network.run(_SYNC_SECONDS * 3)
+        self.network.run(_GOSSIP_INTERVAL_SECONDS * 3)
 
-    def publish(self, change: int = 0) -> None:
-        """Publish the next generation with one service changed."""
+    def publish(self, service_index: int = 0) -> None:
+        """Publish the next generation with one service changed.
+
+        Args:
+            service_index: index of the service that is changed.
+        """
         self.generation += 1
-        self.platform.publish(*self._render(change, self.generation))
+        self.platform.publish(*self._render(service_index, self.generation))
 
     def publish_conflict(self) -> None:
         """Publish two documents with one generation, one in each region."""
@@ -336,7 +346,7 @@
     def partition_regions(self) -> None:
         """Cut the network between the regions."""
         regions = {
-            address: REGIONS[centre]
+            address: _REGION_OF_CENTRE[centre]
             for address, centre in self.data_centre_of.items()
         }
 
@@ -352,14 +362,19 @@
 
     def _render(
         self,
-        change: int,
-        amount: int,
+        service_index: int,
+        added_connections: int,
     ) -> tuple[Manifest, list[bytes]]:
-        """Change one service's limit and return manifest and sections."""
+        """Change one service's limit and return manifest and sections.
+
+        Args:
+            service_index: index of the service that is changed.
+            added_connections: connections of its limit beyond 2000.
+        """
         services: dict[str, Any] = self.document['services']
         names = sorted(services)
-        service = services[names[change % len(names)]]
-        service['connections'] = 2000 + amount
+        service = services[names[service_index % len(names)]]
+        service['connections'] = 2000 + added_connections
         model = DocumentModel.model_validate(self.document)
         sections = split_sections(model)
         digests = {name: hex_digest(raw) for name, raw in sections.items()}
@@ -380,7 +395,7 @@
         VirtualReader(node, self.platform)
         return node
 
-    def _load(self, node: VirtualNode) -> None:
+    def _load_document(self, node: VirtualNode) -> None:
         store = node.gossip.store
         store.put_raw(self.platform.manifest.raw)
         for raw in self.platform.sections.values():
@@ -409,7 +424,8 @@
     return {
         'site': 'lab',
         'data_centres': {
-            name: {'region': region} for name, region in REGIONS.items()
+            name: {'region': region}
+            for name, region in _REGION_OF_CENTRE.items()
         },
         'services': services,
     }
--- a/siskinbank/lab/virtual_loop.py
+++ b/siskinbank/lab/virtual_loop.py
@@ -3,7 +3,7 @@
 Sockets are real. Data sent on loopback can be received at once, so when no
 socket is ready, all parts of an experiment wait for a timer, and the clock
 advances to the next one. A busy machine thus slows an experiment down, but
-does not change times that it measures.
+does not change the times that it measures.
 """
 
 import asyncio
@@ -32,7 +32,7 @@
         self,
         timeout: float | None = None,
     ) -> list[tuple[selectors.SelectorKey, int]]:
-        """Return what is ready, or advance the virtual time."""
+        """Return the ready sockets, or advance the virtual time."""
         if timeout is None or timeout <= 0:
             return super().select(timeout)
         ready = super().select(0) or super().select(_SETTLE_SECONDS)
@@ -46,12 +46,12 @@
 
     def __init__(self) -> None:
         """Initialize the loop with a virtual selector."""
-        self._virtual = _VirtualSelector()
-        super().__init__(self._virtual)
+        self._virtual_selector = _VirtualSelector()
+        super().__init__(self._virtual_selector)
 
     def time(self) -> float:
         """Return the virtual time in seconds."""
-        return self._virtual.elapsed
+        return self._virtual_selector.elapsed
 
 
 def run_virtual(work: Coroutine[Any, Any, ResultT]) -> ResultT:
--- a/siskinbank/lab/virtual_node.py
+++ b/siskinbank/lab/virtual_node.py
@@ -95,8 +95,8 @@
             callback()
 
 
-_Validated = tuple[Site | None, Findings]
-_validated: dict[DocumentKey, _Validated] = {}
+_Validation = tuple[Site | None, Findings]
+_validations: dict[DocumentKey, _Validation] = {}
 
 
 def _validate_once(
@@ -104,18 +104,21 @@
     read_section: Callable[[str], bytes],
     findings: Findings,
 ) -> Site | None:
-    """Validate as the product does, but each document once for all nodes."""
+    """Validate as the product does, but each document once for all nodes.
+
+    The findings of the first validation are repeated to the other nodes.
+    """
     key = manifest.key
-    if key not in _validated:
+    if key not in _validations:
         found = Findings()
-        _validated[key] = judge_document(manifest, read_section, found), found
-    site, found = _validated[key]
+        _validations[key] = judge_document(manifest, read_section, found), found
+    site, found = _validations[key]
     findings.extend(found)
     return site
 
 
 class VirtualNode:
-    """The gossip of one process, with a record of its state changes.
+    """The gossip of one process; records configuration and member changes.
 
     Attributes:
         adopted: time and generation of each configuration put in force.
@@ -199,5 +202,5 @@
         self.ever_gone |= self.gossip.gone
         for name in self.gossip.leaving:
             self.leaving_at.setdefault(name, now)
-        for lost in self.gossip.gone:
-            self.gone_at.setdefault(lost, now)
+        for gone_name in self.gossip.gone:
+            self.gone_at.setdefault(gone_name, now)
--- a/tests/lab/test_dissemination.py
+++ b/tests/lab/test_dissemination.py
@@ -33,7 +33,7 @@
     """No restart, stale replica or conflict reverts a generation."""
 
     def test_restart_of_all_entries_while_stale(self) -> None:
-        """Restarted entries get from sidecars what a stale platform lacks."""
+        """Restarted entries get the newer document from sidecars."""
         fleet = make_fleet()
         fleet.publish()
         fleet.run(3)
@@ -45,9 +45,9 @@
         self.assertEqual(generations(fleet), {2})
         for instance in entries:
             adopted = fleet.nodes[instance.name].adopted
-            self.assertEqual([made for _at, made in adopted], [2])
+            self.assertEqual([generation for _at, generation in adopted], [2])
 
-    def test_new_process_while_the_service_is_down(self) -> None:
+    def test_new_process_while_the_platform_is_down(self) -> None:
         """A new process gets its state from a peer in its settings."""
         fleet = make_fleet()
         fleet.platform.down = True
@@ -60,8 +60,8 @@
         self.assertEqual(node.generation, 1)
         self.assertEqual(len(node.gossip.roster), SIZE)
 
-    def test_service_down_for_long(self) -> None:
-        """Nodes stay fresh, and calls within the readers and fallback rate."""
+    def test_platform_down_for_long(self) -> None:
+        """Nodes stay fresh; calls do not exceed readers plus fallback rate."""
         fleet = make_fleet()
         fleet.platform.down = True
         fleet.run(120)
@@ -97,7 +97,7 @@
         self.assertGreater(counted, 0)
 
     def test_invalid_document_is_refused_everywhere(self) -> None:
-        """The last valid document stays in force, and findings are kept."""
+        """The last valid document stays in force; findings are recorded."""
         fleet = make_fleet()
         fleet.document['data_centres'].pop('south-b')
         fleet.publish()
@@ -114,11 +114,11 @@
     def test_readers_stopped(self) -> None:
         """The processes next in rank replace stopped readers."""
         fleet = make_fleet()
-        reading = {
+        reader_names = {
             reader.node.identity.name for reader in fleet.platform.watchers
         }
-        self.assertTrue(reading)
-        for name in reading:
+        self.assertTrue(reader_names)
+        for name in reader_names:
             fleet.kill(name)
         fleet.run(25)
         fleet.publish()
@@ -135,6 +135,6 @@
         self.assertTrue(report.holds, report.lines())
 
     def test_membership(self) -> None:
-        """Wrong lists, a stopped process, pauses, and a partition."""
+        """Wrong live lists, a stopped process, pauses and a partition."""
         report = measure_membership(SEED, 30)
         self.assertTrue(report.holds, report.lines())
--- a/tests/lab/test_first_service.py
+++ b/tests/lab/test_first_service.py
@@ -44,12 +44,12 @@
 
     def setUp(self) -> None:
         """Start an upstream, a platform, a sidecar and an entry."""
-        holder = tempfile.TemporaryDirectory()
-        self.addCleanup(holder.cleanup)
+        directory = tempfile.TemporaryDirectory()
+        self.addCleanup(directory.cleanup)
         self.page = b'hello' * 100_000
-        Path(holder.name, 'page').write_bytes(self.page)
+        Path(directory.name, 'page').write_bytes(self.page)
         self.ports = free_ports(9)
-        self._start_upstream(holder.name)
+        self._start_upstream(directory.name)
         platform, bind, admin, entry, entry_admin = self.ports[1:6]
         self._start('lab', 'platform', f'--bind={LOOPBACK}:{platform}')
         platform_url = f'http://{LOOPBACK}:{platform}'
@@ -93,8 +93,8 @@
             ('9401', self.ports[7]),
         ):
             document = document.replace(number, str(port))
-        with tempfile.TemporaryDirectory() as holder:
-            path = Path(holder, 'first.yaml')
+        with tempfile.TemporaryDirectory() as directory:
+            path = Path(directory, 'first.yaml')
             path.write_text(document, encoding='utf-8')
             rendered = subprocess.run(
                 self._command('render', str(path), '--publish', '1'),
