--- a/siskinbank/lab/cold.py
+++ b/siskinbank/lab/cold.py
@@ -29,6 +29,7 @@
 _WARM_UP_SECONDS = 8.0
 _RUN_SECONDS = 50
 _COLD_AT_SECONDS = 24.0
+#: Time that a sidecar has to detect that its upstream turned cold.
 _DETECTION_SECONDS = 1.0
 _SEND_INTERVAL_SECONDS = 1.0
 #: Share of the mean load from which a host counts as recovered.
@@ -43,11 +44,10 @@
 
     Attributes:
         excess: Number of packets at upstreams above their limit.
-        burst_excess: Number of new connections above the limit for one
-            second.
+        burst_excess: Number of new connections above the limit per second.
         collapse_count: Number of collapses besides the injected one.
         recovery_seconds: Time until the cold host has its share again.
-        lost_flows: Number of flows lost besides the injected collapse.
+        broken_flows: Number of flows broken besides the injected collapse.
         opened: Number of opened flows.
     """
 
@@ -55,7 +55,7 @@
     burst_excess: int
     collapse_count: int
     recovery_seconds: float
-    lost_flows: int
+    broken_flows: int
     opened: int
 
 
@@ -80,7 +80,7 @@
         )
         results[f'{name}: seconds to full share'] = run.recovery_seconds
         results[f'{name}: flows lost besides the injected collapse'] = (
-            run.lost_flows
+            run.broken_flows
         )
         results[f'{name}: flows opened'] = run.opened
         bounds.extend(_bounds(name, run))
@@ -105,7 +105,7 @@
             2 * _WARM_UP_SECONDS,
             run.recovery_seconds,
         ),
-        at_most(f'{name}: flows lost besides', 0, run.lost_flows),
+        at_most(f'{name}: flows lost besides', 0, run.broken_flows),
         at_least(f'{name}: flows opened', 1, run.opened),
     ]
 
@@ -139,7 +139,7 @@
         sum(upstream.burst_excess for upstream in upstreams),
         sum(upstream.collapse_count for upstream in upstreams) - 1,
         recovered_at - now,
-        len(traffic.lost_flows - upstreams[collapsing_host].abandoned_flows),
+        len(traffic.broken_flows - upstreams[collapsing_host].abandoned_flows),
         traffic.opened,
     )
 
@@ -171,9 +171,11 @@
     while pool.clock.now < _RUN_SECONDS:
         traffic.run(pool.clock.now + _STEP_SECONDS)
         now = pool.clock.now
-        active_flows = [upstream.active_flows(now) for upstream in upstreams]
-        mean = sum(active_flows) / len(active_flows)
-        if active_flows[cold_host] < mean * _RECOVERED_SHARE:
+        flow_counts = [
+            upstream.count_active_flows(now) for upstream in upstreams
+        ]
+        mean = sum(flow_counts) / len(flow_counts)
+        if flow_counts[cold_host] < mean * _RECOVERED_SHARE:
             recovered_at = float('inf')
         elif recovered_at > now:
             recovered_at = now
--- a/siskinbank/lab/cost.py
+++ b/siskinbank/lab/cost.py
@@ -28,10 +28,10 @@
 
 __all__ = ('measure_cost',)
 
-_SIZES = (1_000, 30_000, 300_000)
+_FLOW_COUNTS = (1_000, 30_000, 300_000)
 _TIMED_PACKETS = 1_000
 _ROUNDS = 7
-_MICROSECONDS = 1_000_000
+_MICROSECONDS_PER_SECOND = 1_000_000
 _PAYLOAD = bytes(200)
 _PORTS_PER_ADDRESS = 50_000
 _FIRST_PORT = 2000
@@ -49,9 +49,9 @@
 
 def measure_cost(seed: int) -> ExperimentReport:
     """Measure time per packet, memory per flow and control traffic."""
-    sizes = {size: _measure_size(seed, size) for size in _SIZES}
+    sizes = {size: _measure_size(seed, size) for size in _FLOW_COUNTS}
     control = {hosts: _measure_control(seed, hosts) for hosts in _POOL_HOSTS}
-    largest = sizes[_SIZES[-1]]
+    largest = sizes[_FLOW_COUNTS[-1]]
     small_pool = control[_POOL_HOSTS[0]]
     entry_bytes = largest['entry_bytes_a_flow'] * _FLOWS_PER_ENTRY
     host_bytes = largest['sidecar_bytes_a_flow'] * _FLOWS_PER_HOST
@@ -109,7 +109,7 @@
         make_packet(_flow(size + number), SYN, _PAYLOAD)
         for number in range(_TIMED_PACKETS)
     ]
-    known = _seal_known(sidecar, known_packets)
+    known_datagrams = _seal_known(sidecar, known_packets)
     return {
         'entry_known_microseconds': _best_microseconds(
             known_packets,
@@ -120,7 +120,7 @@
             lambda raw: entry.ingress.receive(raw, _SENDER),
         ),
         'sidecar_known_microseconds': _best_microseconds(
-            known,
+            known_datagrams,
             lambda raw: sidecar.context.peers.receive(raw, _SENDER),
         ),
         'sidecar_new_microseconds': _mean_microseconds(
@@ -165,9 +165,9 @@
 def _add_routes(
     entry: PoolEntry, sidecar: PoolSidecar, flows: list[Flow]
 ) -> None:
-    own = pack_address(sidecar.address)
+    owner = pack_address(sidecar.address)
     for flow in flows:
-        entry.ingress.learn(Owner(_flow_key(flow), own, 1, 1), _SENDER)
+        entry.ingress.learn(Owner(_flow_key(flow), owner, 1, 1), _SENDER)
 
 
 def _add_flows(sidecar: PoolSidecar, flows: list[Flow], now: float) -> None:
@@ -190,9 +190,9 @@
 
 
 def _seal(sidecar: PoolSidecar, flags: int, raw: bytes) -> bytes:
-    own = pack_address(sidecar.address)
+    receiver = pack_address(sidecar.address)
     ident = digest64(SERVICE)
-    envelope = Envelope(flags, 0, 0, ident, 1, 0, own, (own,), raw)
+    envelope = Envelope(flags, 0, 0, ident, 1, 0, receiver, (receiver,), raw)
     return sidecar.context.peers.keys.seal(envelope.pack())
 
 
@@ -237,7 +237,7 @@
     for raw in datagrams:
         handle(raw)
     elapsed = time.perf_counter() - start
-    return elapsed / len(datagrams) * _MICROSECONDS
+    return elapsed / len(datagrams) * _MICROSECONDS_PER_SECOND
 
 
 def _measure_control(seed: int, hosts: int) -> dict[str, float]:
@@ -250,10 +250,10 @@
     _add_flows(sidecar, _primary_flows(sidecar, hosts), pool.clock.now)
     plan.states[hosts] = 'active'
     receivers: set[Address] = set()
-    sizes: list[int] = []
+    datagram_sizes: list[int] = []
 
     def watch(datagram: bytes, receiver: Address) -> None:
-        sizes.append(len(datagram))
+        datagram_sizes.append(len(datagram))
         receivers.add(receiver)
 
     pool.network.watch = watch
@@ -262,30 +262,30 @@
     pool.run(_CONTROL_SECONDS)
     cpu_seconds = time.process_time() - start
     return {
-        'bytes_a_second': sum(sizes) / _CONTROL_SECONDS,
-        'datagrams_a_second': len(sizes) / _CONTROL_SECONDS,
+        'bytes_a_second': sum(datagram_sizes) / _CONTROL_SECONDS,
+        'datagrams_a_second': len(datagram_sizes) / _CONTROL_SECONDS,
         'peers': len(receivers),
         'share_of_a_core': cpu_seconds / _CONTROL_SECONDS,
     }
 
 
 def _primary_flows(sidecar: PoolSidecar, hosts: int) -> list[Flow]:
-    """Return flows of one host at the design size.
+    """Return as many flows as a host has at the design size.
 
-    In the small pool it is the primary host of all of them.
+    In the small pool the host is the primary host of all of them.
     """
     flows = (_flow(number) for number in itertools.count())
     if hosts > _POOL_HOSTS[0]:
-        # Finding flows with this primary host would take far more ranking,
-        # and any other flows cost no less.
+        # In a large pool, far more flow numbers would have to be ranked to
+        # find flows with this primary host; any other flows cost no less.
         return list(itertools.islice(flows, _FLOWS_PER_HOST))
     service = sidecar.context.service
     assert service is not None
-    known = sidecar.context.router.ranks(service).known
-    own = sidecar.process.name
-    first = (
+    rank_hosts = sidecar.context.router.ranks(service).known
+    own_name = sidecar.process.name
+    primary_flows = (
         flow
         for flow in flows
-        if known(flow_number(_flow_key(flow)))[0].name == own
+        if rank_hosts(flow_number(_flow_key(flow)))[0].name == own_name
     )
-    return list(itertools.islice(first, _FLOWS_PER_HOST))
+    return list(itertools.islice(primary_flows, _FLOWS_PER_HOST))
--- a/siskinbank/lab/data_centre.py
+++ b/siskinbank/lab/data_centre.py
@@ -1,4 +1,4 @@
-"""Takes data centres out of service and back, twice."""
+"""Takes one data centre out of service and back, then another one."""
 
 import random
 from collections.abc import Sequence
@@ -35,9 +35,12 @@
 _ROUND_SECONDS = 30.0
 _ROUNDS = 2
 _RUN_SECONDS = _FIRST_OUTAGE_AT_SECONDS + _ROUNDS * _ROUND_SECONDS
+#: Share of the mean load from which the hosts count as recovered.
 _RECOVERED_SHARE = 0.9
 _STEP_SECONDS = 0.5
-_FLOWS_AT_CAPACITY = 55
+#: Close to the limit of 60 per host, so that the other data centres cannot
+#: take over the flows of one out of service.
+_FLOWS_PER_HOST_NEAR_LIMIT = 55
 
 
 @dataclass(slots=True)
@@ -47,20 +50,20 @@
     Attributes:
         late_packets: Number of packets to hosts out of service, from 3
             seconds after the publication on.
-        broken: Number of broken flows of other hosts.
-        falsely_refused: Number of flows refused while a host had capacity.
-        refused: Number of refused flows.
+        broken_flows: Number of broken flows of other hosts.
+        falsely_refused: Number of refused attempts to open a flow while a
+            host had capacity.
+        refused: Number of refused attempts to open a flow.
         abandoned_flows: Number of flows dropped by hosts out of service.
         opened: Number of opened flows.
         excess: Number of packets at upstreams above their limit.
-        burst_excess: Number of new connections above the limit for one
-            second.
+        burst_excess: Number of new connections above the limit per second.
         recovery_seconds: Time until the hosts have their share again, by
             round.
     """
 
     late_packets: int = 0
-    broken: int = 0
+    broken_flows: int = 0
     falsely_refused: int = 0
     refused: int = 0
     abandoned_flows: int = 0
@@ -82,7 +85,7 @@
     bounds: list[Bound] = []
     for name, flows_per_host in (
         ('room', flows),
-        ('no room', _FLOWS_AT_CAPACITY),
+        ('no room', _FLOWS_PER_HOST_NEAR_LIMIT),
     ):
         rng = random.Random(seed)
         arrivals = draw_arrivals(rng, flows_per_host * hosts, _RUN_SECONDS)
@@ -97,7 +100,7 @@
 def _figures(name: str, run: DataCentreRun) -> dict[str, Any]:
     return {
         f'{name}: packets after 3 s': run.late_packets,
-        f'{name}: flows broken elsewhere': run.broken,
+        f'{name}: flows broken elsewhere': run.broken_flows,
         f'{name}: flows given up': run.abandoned_flows,
         f'{name}: refused': run.refused,
         f'{name}: refused while there was room': run.falsely_refused,
@@ -111,7 +114,7 @@
 def _bounds(name: str, run: DataCentreRun) -> list[Bound]:
     bounds = [
         at_most(f'{name}: packets after 3 s', 0, run.late_packets),
-        at_most(f'{name}: flows broken elsewhere', 0, run.broken),
+        at_most(f'{name}: flows broken elsewhere', 0, run.broken_flows),
         at_most(f'{name}: refused with room', 0, run.falsely_refused),
         at_most(f'{name}: moments above a limit', 0, run.excess),
         at_most(f'{name}: above its worth a second', 0, run.burst_excess),
@@ -174,7 +177,7 @@
     traffic.run(_RUN_SECONDS)
     _add_upstream_counts(run, upstreams)
     abandoned_flows = _abandoned_flows(upstreams)
-    run.broken = len(traffic.lost_flows - abandoned_flows)
+    run.broken_flows = len(traffic.broken_flows - abandoned_flows)
     run.refused = traffic.refused
     run.falsely_refused = traffic.falsely_refused
     run.opened = traffic.opened
@@ -203,7 +206,7 @@
         traffic.hosts_out = frozenset()
     traffic.run(_RUN_SECONDS)
     _add_upstream_counts(run, upstreams)
-    run.broken = len(traffic.broken_flows - _abandoned_flows(upstreams))
+    run.broken_flows = len(traffic.broken_flows - _abandoned_flows(upstreams))
     run.opened = len(arrivals)
     return run
 
@@ -254,10 +257,10 @@
     pool.publish(site, _PUBLISH_SPREAD_SECONDS)
     while pool.clock.now < start + 2 * _WARM_UP_SECONDS:
         traffic.run(pool.clock.now + _STEP_SECONDS)
-        share = sum(len(upstream.open_flows) for upstream in affected) / len(
-            affected
-        )
+        affected_mean = sum(
+            len(upstream.open_flows) for upstream in affected
+        ) / len(affected)
         total = sum(len(upstream.open_flows) for upstream in upstreams)
-        if share >= total / len(upstreams) * _RECOVERED_SHARE:
+        if affected_mean >= total / len(upstreams) * _RECOVERED_SHARE:
             return pool.clock.now - start
     return float('inf')
--- a/siskinbank/lab/fairness.py
+++ b/siskinbank/lab/fairness.py
@@ -43,15 +43,15 @@
     Attributes:
         worst_ratio: Maximum over time of the ratio of the highest load of a
             host to the mean load.
-        mean: Mean over time of that ratio.
+        mean_ratio: Mean over time of that ratio.
         hops: Extra hops per opened flow.
         control_bytes_per_second: Bytes per second of the load exchange, sent
             and received, per host.
-        refused: Number of refused flows.
+        refused: Number of refused attempts to open a flow.
     """
 
     worst_ratio: float
-    mean: float
+    mean_ratio: float
     hops: float
     control_bytes_per_second: float
     refused: int
@@ -76,14 +76,14 @@
             name = f'{size} hosts, exchange lags {lag_seconds:g} s'
             balance = measure_pool(seed, entries, size, arrivals, lag_seconds)
             results[f'{name}: busiest / mean'] = balance.worst_ratio
-            results[f'{name}: busiest / mean, average'] = balance.mean
+            results[f'{name}: busiest / mean, average'] = balance.mean_ratio
             results[f'{name}: extra hops'] = balance.hops
             results[f'{name}: refused'] = balance.refused
             results[f'{name}: bytes a second'] = (
                 balance.control_bytes_per_second
             )
-            # The load reports of hosts lag or are zero in both cases. The run
-            # with a delayed exchange between sidecars has no bound.
+            # In both cases the load endpoints of the hosts lag or report zero.
+            # With a delayed exchange between sidecars the ratio has no bound.
             if not lag_seconds:
                 bounds.append(
                     at_most(name, _MAX_LOAD_RATIO, balance.worst_ratio)
@@ -116,8 +116,8 @@
         entries: Number of entries.
         hosts: Number of hosts.
         arrivals: Flows to send.
-        lag_seconds: Delay of the load reports between sidecars, which are
-            still taken for current ones.
+        lag_seconds: Delay of the load reports between sidecars, which the
+            receivers treat as current.
         weights: Weights of hosts by number, where they differ from 1.
     """
     pool = Pool(seed)
@@ -214,13 +214,15 @@
         float(_SETTLE_SECONDS + second) for second in range(_MEASURED_SECONDS)
     ]
     figures = {}
-    for name, pick in POLICIES.items():
+    for name, policy in POLICIES.items():
         for label, lag_seconds, reports_zero_load in (
             ('reports lag 10 s', _LAG_SECONDS, False),
             ('reports say zero', 0, True),
         ):
             rng = random.Random(seed)
-            naive = NaivePool(pick, hosts, lag_seconds, reports_zero_load, rng)
+            naive = NaivePool(
+                policy, hosts, lag_seconds, reports_zero_load, rng
+            )
             load_samples = naive.run(arrivals, sample_times)
             worst_ratio = max(
                 _busiest_ratio(loads, {}) for loads in load_samples
--- a/siskinbank/lab/flow_traffic.py
+++ b/siskinbank/lab/flow_traffic.py
@@ -26,8 +26,11 @@
 _SYN_RETRANSMIT_SHARE = 0.3
 _MAX_SYN_RETRANSMIT_SECONDS = 3.0
 _SEQUENCE_BYTES = 8
+#: A sealed datagram has the key number and the 12-byte MAC before its body.
 _BODY_OFFSET = 13
+#: First byte of a body that holds an envelope.
 _PACKET_KIND = 1
+#: The upper four bits of this byte of an envelope are the hop count.
 _HOPS_OFFSET = _BODY_OFFSET + 2
 _HOPS_SHIFT = 4
 _FLOWS_PER_ADDRESS = 10_000
@@ -40,7 +43,7 @@
 
     Attributes:
         endpoints: Addresses and ports of caller and service.
-        number: 64-bit hash of the flow.
+        number: 64-bit flow number.
         udp: Whether it is a UDP flow.
         owner: Host that accepted the flow.
         naive_hosts: Hosts that the naive balancers chose for the first
@@ -62,7 +65,21 @@
 
 
 class FlowTraffic:
-    """Sends packets of all flows and records where they are delivered."""
+    """Sends packets of all flows and records where they are delivered.
+
+    Attributes:
+        flows: All flows that were opened.
+        naive_broken: Numbers of the flows that would have broken with a naive
+            balancer, by balancer.
+        hops: Number of delivered packets by extra hops, without the first
+            packet of each flow.
+        moved_hops: The same for flows whose owner is not their primary host.
+        packets: Number of packets sent.
+        lost_packets: Number of packets that were not delivered, without those
+            of killed hosts.
+        two_owners: Numbers of the flows that reached two hosts.
+        dead_hosts: Hosts that were killed.
+    """
 
     def __init__(self, pool: Pool, rng: random.Random) -> None:
         """Initialize without flows and observe the network of ``pool``."""
@@ -80,7 +97,9 @@
         self.two_owners: set[int] = set()
         self.dead_hosts: set[str] = set()
         self._sequence = 0
-        self._hosts = {host_address(number)[0]: number for number in range(999)}
+        self._host_numbers = {
+            host_address(number)[0]: number for number in range(999)
+        }
         self._delivered_to: dict[int, str] = {}
         self._hops_by_sequence: dict[int, int] = {}
         self._owners: dict[int, int] = {}
@@ -90,7 +109,7 @@
         pool.network.may_lose = _is_control
 
     def open(self, count: int) -> None:
-        """Open flows; some first packets are retransmitted to any entry."""
+        """Open flows; retransmit some first packets to a random entry."""
         for _ in range(count):
             flow = self._new_flow()
             self.flows.append(flow)
@@ -182,7 +201,7 @@
             )
 
     def _record_delivery(self, raw: bytes, address: str) -> None:
-        host = self._hosts[address]
+        host = self._host_numbers[address]
         sequence = _sequence_of(raw)
         packet = parse_inner(raw)
         assert packet is not None
--- a/siskinbank/lab/flows.py
+++ b/siskinbank/lab/flows.py
@@ -16,7 +16,7 @@
 _CHANGES = 10
 _CHANGE_SECONDS = 8
 _PUBLISH_SPREAD_SECONDS = 5.0
-_CONTROL_LOSS = 0.03
+_CONTROL_LOSS_SHARE = 0.03
 _SETTLE_SECONDS = 3
 _AFTER_KILL_SECONDS = 8
 _RESTART_SECONDS = 0.2
@@ -30,13 +30,21 @@
 
 @dataclass(frozen=True, slots=True)
 class FlowPlan:
-    """Parameters of one run."""
+    """Parameters of one run.
+
+    Attributes:
+        entries: Number of entries.
+        hosts: Number of hosts at the start.
+        flows: Number of flows that are opened at the start.
+        changes: Number of planned changes.
+        loss: Share of the control datagrams that are lost.
+    """
 
     entries: int = 4
     hosts: int = 7
     flows: int = 300
     changes: int = _CHANGES
-    loss: float = _CONTROL_LOSS
+    loss: float = _CONTROL_LOSS_SHARE
 
 
 def measure_flows(
@@ -52,7 +60,7 @@
     broken_by_changes = [flow.failure for flow in run.traffic.broken_flows()]
     run.kill_host()
     traffic = run.traffic
-    broken_in_all = traffic.broken_flows()
+    all_broken_flows = traffic.broken_flows()
     moved = traffic.moved_hops
     near_count = sum(moved[hops] for hops in range(_MAX_NEAR_HOPS + 1))
     return ExperimentReport(
@@ -62,9 +70,11 @@
             'changes': run.changes_made,
             'flows': len(traffic.flows),
             'broken_by_planned_changes': len(broken_by_changes),
-            'broken_by_death_elsewhere': len(broken_in_all)
+            'broken_by_death_elsewhere': len(all_broken_flows)
             - len(broken_by_changes),
-            'broken_how': sorted({str(flow.failure) for flow in broken_in_all}),
+            'broken_how': sorted(
+                {str(flow.failure) for flow in all_broken_flows}
+            ),
             'on_dead_host': sum(
                 flow.owner in traffic.dead_hosts for flow in traffic.flows
             ),
@@ -88,7 +98,7 @@
             at_most(
                 'flows of other hosts broken by a death',
                 0,
-                len(broken_in_all) - len(broken_by_changes),
+                len(all_broken_flows) - len(broken_by_changes),
             ),
             at_most('flows with two owners', 0, len(traffic.two_owners)),
             at_least(
--- a/siskinbank/lab/forwarding.py
+++ b/siskinbank/lab/forwarding.py
@@ -25,7 +25,7 @@
 _FLOWS = 1000
 _PAYLOAD_BYTES = 200
 _MEASURED_SECONDS = 1.0
-_SETTLE_SECONDS = 0.2
+_RECEIVE_TIMEOUT_SECONDS = 0.2
 _RECEIVE_BUFFER_BYTES = 8 * 1024 * 1024
 _MIN_RATIO = 0.5
 _LOOPBACK = '127.0.0.1'
@@ -34,6 +34,7 @@
 _START_SECONDS = 1
 _SEND_INTERVAL_SECONDS = 0.0005
 _BUFFER_BYTES = 65536
+#: First byte of the body of a control datagram.
 _CONTROL_PREFIX = b'\0'
 
 
@@ -112,7 +113,7 @@
         _RECEIVE_BUFFER_BYTES,
     )
     sink.bind((_LOOPBACK, 0))
-    sink.settimeout(_SETTLE_SECONDS)
+    sink.settimeout(_RECEIVE_TIMEOUT_SECONDS)
     return sink
 
 
@@ -131,7 +132,7 @@
 def _announce_owner(fleet: Fleet, sink: Address) -> None:
     """Announce the sink to the entry as the owner of all flows."""
     keys = KeyRing(parse_keys(fleet.key))
-    stamps = ReplayGuard()
+    replay_guard = ReplayGuard()
     bind = (_LOOPBACK, fleet.entries['entry-1'].bind)
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sender:
         for packet in _make_packets(_service_address(fleet)):
@@ -139,7 +140,8 @@
             assert inner is not None
             message = encode(Owner(inner.flow, pack_address(sink), 1, 1))
             sender.sendto(
-                keys.seal(_CONTROL_PREFIX + stamps.stamp() + message), bind
+                keys.seal(_CONTROL_PREFIX + replay_guard.stamp() + message),
+                bind,
             )
             time.sleep(_SEND_INTERVAL_SECONDS)
 
--- a/siskinbank/lab/key_cost.py
+++ b/siskinbank/lab/key_cost.py
@@ -25,9 +25,10 @@
 _CHUNK = bytes(64 * 1024)
 _OPENED_STREAMS = 40
 _MEBIBYTE = 1024 * 1024
-_MILLISECONDS = 1000
-_MICROSECONDS = 1_000_000
+_MILLISECONDS_PER_SECOND = 1000
+_MICROSECONDS_PER_SECOND = 1_000_000
 _SEALED_PACKETS = 20_000
+#: Size of the header of an envelope with one candidate.
 _HEAD_BYTES = 40
 #: Minimum ratio of the rate with keys to the rate without.
 _MIN_PACKET_SHARE = 0.5
@@ -106,7 +107,11 @@
     started = time.process_time()
     for _ in range(_SEALED_PACKETS):
         ring.open(ring.seal_parts(head, tail))
-    return (time.process_time() - started) / _SEALED_PACKETS * _MICROSECONDS
+    return (
+        (time.process_time() - started)
+        / _SEALED_PACKETS
+        * _MICROSECONDS_PER_SECOND
+    )
 
 
 def _packet_rate(seed: int, ring: KeyRing) -> float:
@@ -174,7 +179,7 @@
         stream = await connect(address)
         await stream.close()
     seconds = (time.process_time() - started) / _OPENED_STREAMS
-    return seconds * _MILLISECONDS
+    return seconds * _MILLISECONDS_PER_SECOND
 
 
 Listen = Callable[
--- a/siskinbank/lab/limited_upstream.py
+++ b/siskinbank/lab/limited_upstream.py
@@ -1,4 +1,4 @@
-"""A fake upstream with a connection limit, and a sidecar that checks it."""
+"""A fake upstream with a connection limit, monitored by its sidecar."""
 
 from collections import deque
 from dataclasses import dataclass, field
@@ -33,11 +33,11 @@
 
 @dataclass(slots=True)
 class LimitedUpstream(FakeUpstream):
-    """Counts the packets by which it exceeds its connection limit.
+    """A fake upstream that counts how often its connection limit is exceeded.
 
     The limit rises from ``cold_connections`` after a start to
-    ``full_connections`` after the warm-up. During the warm-up it also limits
-    the new connections per second.
+    ``full_connections`` after the warm-up. During the warm-up the same limit
+    also applies to the number of new connections per second.
 
     Attributes:
         full_connections: Connection limit after the warm-up.
@@ -46,16 +46,16 @@
         can_collapse: Whether it collapses under overload.
         open_flows: Time of the last packet of each open flow.
         cold_since: Time when it last turned cold.
-        counted_from: Time from which an excess counts. An earlier one is not
-            the sidecar's fault.
+        counted_from: Time from which an excess is counted; the sidecar cannot
+            prevent an earlier one.
         incarnation: Number of the current run.
         report_unavailable: Whether its load endpoint never answers.
         report_lag_seconds: Time after a restart during which the load
             endpoint still reports the previous incarnation.
         reports_zero: Whether the load endpoint always reports no load.
-        excess: Number of packets that found it above its limit.
-        burst_excess: Number of new connections above the limit for one
-            second.
+        excess: Number of packets received while its connection limit was
+            exceeded.
+        burst_excess: Number of new connections above the limit per second.
         collapse_count: Number of collapses.
         down_until: Time until which it does not answer.
         abandoned_flows: Flows that it dropped.
@@ -110,7 +110,7 @@
         return _COLD_RESPONSE_SECONDS if is_cold else _RESPONSE_SECONDS
 
     def report(self, now: float) -> LoadReport:
-        """Return the answer of its load endpoint, which may be absent or late."""
+        """Return the answer of its load endpoint, if any; it may be outdated."""
         if self.report_unavailable or not self.is_up(now):
             return LoadReport(Health.silent)
         if self.reports_zero:
@@ -131,7 +131,7 @@
             return
         is_new = flow not in self.open_flows
         if is_new and not packet.may_open:
-            # A real upstream resets a packet of an unknown flow.
+            # A real upstream answers a packet of an unknown flow with a reset.
             return
         self.open_flows[flow] = now
         if packet.may_open and is_new:
@@ -139,7 +139,7 @@
             self._check_open_rate(now)
         self._check_limit(now)
 
-    def active_flows(self, now: float) -> int:
+    def count_active_flows(self, now: float) -> int:
         """Return the number of flows with a packet since ``counted_from``."""
         if not self.counted_from:
             return len(self.open_flows)
@@ -164,12 +164,12 @@
     def _check_limit(self, now: float) -> None:
         if now < self.counted_from:
             return
-        active_flows = self.active_flows(now)
-        if active_flows > self.connection_limit(now):
+        active_count = self.count_active_flows(now)
+        if active_count > self.connection_limit(now):
             self.excess += 1
         if (
             self.can_collapse
-            and active_flows > self.connection_limit(now) * _COLLAPSE_FACTOR
+            and active_count > self.connection_limit(now) * _COLLAPSE_FACTOR
         ):
             self.collapse(now)
 
@@ -189,7 +189,7 @@
     number: int,
     upstream: LimitedUpstream,
 ) -> PoolSidecar:
-    """Start a sidecar that checks the health of ``upstream``."""
+    """Start a sidecar with regular health checks of ``upstream``."""
     sidecar = pool.add_sidecar(
         host_name(number),
         host_address(number),
--- a/siskinbank/lab/lookups.py
+++ b/siskinbank/lab/lookups.py
@@ -30,11 +30,13 @@
 _OPEN_INTERVAL_SECONDS = 0.005
 _RETRY_SECONDS = 1.0
 _MAX_TRIES = 5
-_ONE_WAY_SECONDS = 0.001
+_ONE_WAY_DELAY_SECONDS = 0.001
 _QUERY_TIMEOUT_SECONDS = 0.3
 _BUCKETS = 4096
 _MIN_NEAR_SHARE = 0.95
+#: A sealed datagram has the key number and the 12-byte MAC before its body.
 _BODY_OFFSET = 13
+#: First byte of a body that holds an envelope.
 _PACKET_KIND = 1
 
 
@@ -55,7 +57,7 @@
     never_found: int = 0
 
     def summary(self) -> dict[str, float]:
-        """Return the means and the share with at most one extra hop."""
+        """Return counts, means and the share with at most one extra hop."""
         count = max(len(self.hops), 1)
         near_count = sum(hops <= 1 for hops in self.hops)
         return {
@@ -102,7 +104,7 @@
 
 
 class LookupRun:
-    """A pool after hosts were added, with a new entry without cached flows."""
+    """A pool after hosts were added, with a new entry that cached no flow."""
 
     def __init__(self, seed: int, *, with_pointers: bool) -> None:
         """Initialize the pool: open flows, add hosts and replace the entry."""
@@ -129,7 +131,7 @@
         hosts = self._site.services[SERVICE].hosts
         self._rank = prepare_rendezvous(hosts, len(hosts))
         self._dead_host: str | None = None
-        self._arrivals: list[float] = []
+        self._arrival_times: list[float] = []
         self._hops = 0
         self._pool.network.watch = self._observe
 
@@ -142,25 +144,28 @@
     def send_packets(self) -> LookupStats:
         """Send one packet of each moved flow, with retries."""
         stats = LookupStats()
-        for flow, _number, _owner in self._moved():
+        for flow, _number, _owner in self._moved_flows():
             self._send_packet(stats, make_packet(flow, ACK, b'x'))
         return stats
 
     def estimate_queries(self) -> LookupStats:
-        """Estimate the results if an entry queries the hosts by rank."""
+        """Estimate the results if an entry queries the hosts in rank order."""
         stats = LookupStats()
-        for _flow, number, owner in self._moved():
+        for _flow, number, owner in self._moved_flows():
             ranked = self._rank(number)
             self._estimate_query(stats, ranked, owner)
         return stats
 
     def estimate_buckets(self) -> LookupStats:
-        """Estimate the results if hosts exchange the buckets of their flows."""
+        """Estimate the results if hosts announce their non-empty buckets.
+
+        A bucket holds the flows with the same number modulo 4096.
+        """
         buckets: dict[str, set[int]] = {}
         for number, owner in self._owners.values():
             buckets.setdefault(owner, set()).add(number % _BUCKETS)
         stats = LookupStats()
-        for _flow, number, owner in self._moved():
+        for _flow, number, owner in self._moved_flows():
             first, *others = self._rank(number)
             bucket = number % _BUCKETS
             candidates = [
@@ -171,7 +176,7 @@
             hops = [host.name for host in candidates].index(owner) + 1
             stats.hops.append(hops)
             delay = _RETRY_SECONDS if first.name == self._dead_host else 0
-            stats.seconds.append(delay + (hops + 1) * _ONE_WAY_SECONDS)
+            stats.seconds.append(delay + (hops + 1) * _ONE_WAY_DELAY_SECONDS)
         return stats
 
     def _open(self) -> Iterator[tuple[Flow, tuple[int, str]]]:
@@ -186,7 +191,7 @@
                 if sidecar.handler.flows.get(packet.flow):
                     yield flow, (packet.key, name)
 
-    def _moved(self) -> Iterator[tuple[Flow, int, str]]:
+    def _moved_flows(self) -> Iterator[tuple[Flow, int, str]]:
         """Yield the flows whose owner is no longer their primary host."""
         for flow, (number, owner) in self._owners.items():
             if self._rank(number)[0].name != owner:
@@ -194,14 +199,14 @@
 
     def _send_packet(self, stats: LookupStats, raw: bytes) -> None:
         start = self._pool.clock.now
-        self._arrivals.clear()
+        self._arrival_times.clear()
         for _ in range(_MAX_TRIES):
             self._hops = 0
             self._pool.spray(raw)
             self._pool.run(_RETRY_SECONDS)
-            if self._arrivals:
+            if self._arrival_times:
                 stats.hops.append(self._hops)
-                stats.seconds.append(self._arrivals[0] - start)
+                stats.seconds.append(self._arrival_times[0] - start)
                 return
             stats.lost_packets += 1
         stats.never_found += 1
@@ -212,7 +217,7 @@
         ranked: list[Host],
         owner: str,
     ) -> None:
-        seconds = _ONE_WAY_SECONDS
+        seconds = _ONE_WAY_DELAY_SECONDS
         for hops, host in enumerate(ranked):
             if host.name == owner:
                 stats.hops.append(2 * hops)
@@ -220,16 +225,18 @@
                 return
             is_dead = host.name == self._dead_host
             seconds += (
-                _QUERY_TIMEOUT_SECONDS if is_dead else 2 * _ONE_WAY_SECONDS
+                _QUERY_TIMEOUT_SECONDS
+                if is_dead
+                else 2 * _ONE_WAY_DELAY_SECONDS
             )
 
     def _observe(self, datagram: bytes, receiver: Address) -> None:
         if receiver[1] == UPSTREAM_PORT:
-            self._arrivals.append(self._pool.clock.now)
+            self._arrival_times.append(self._pool.clock.now)
         elif datagram[_BODY_OFFSET] == _PACKET_KIND:
             self._hops = max(self._hops, datagram[_BODY_OFFSET + 2] >> 4)
 
 
 def _is_control(datagram: bytes) -> bool:
-    """Return whether a datagram is control; pointers are sent that way."""
+    """Return whether a datagram is a control message, as pointers are."""
     return datagram[_BODY_OFFSET] != _PACKET_KIND
--- a/siskinbank/lab/naive_traffic.py
+++ b/siskinbank/lab/naive_traffic.py
@@ -16,6 +16,11 @@
 
     A flow is broken when its host changes. Its caller opens it again with the
     next packet.
+
+    Attributes:
+        upstreams: Upstreams of all hosts.
+        hosts_out: Numbers of the hosts that are out of service.
+        broken_flows: Flows that were broken.
     """
 
     def __init__(
--- a/siskinbank/lab/pool.py
+++ b/siskinbank/lab/pool.py
@@ -41,8 +41,8 @@
     Attributes:
         flows: Keys of the flows that were opened.
         packets: Number of packets by flow key.
-        unknown_flows: Keys of flows that were not opened here but sent a
-            packet other than a first one.
+        unknown_flows: Keys of flows that were not opened here, but of which
+            a later packet was received.
         arrival_times: Times of all packets.
     """
 
@@ -234,7 +234,7 @@
 
 
 class _ConnectedTransport(asyncio.DatagramTransport):
-    """A transport that delivers all datagrams to one address at once."""
+    """A transport that delivers datagrams to one address without delay."""
 
     def __init__(self, network: FakeNetwork, receiver: Address) -> None:
         super().__init__()
--- a/siskinbank/lab/traffic.py
+++ b/siskinbank/lab/traffic.py
@@ -51,7 +51,7 @@
 
     Attributes:
         at: Time of the first packet in seconds.
-        life: Duration of the flow in seconds.
+        duration_seconds: Duration of the flow.
         number: Number of the flow, from which its addresses are derived.
     """
 
@@ -115,7 +115,15 @@
 
 
 class Traffic:
-    """Sends the packets of random flows into a pool."""
+    """Sends the packets of random flows into a pool.
+
+    Attributes:
+        opened: Number of successful attempts to open a flow.
+        refused: Number of failed attempts to open a flow.
+        falsely_refused: Number of failed attempts while a warm host had free
+            capacity.
+        broken_flows: Flows that were open but no live upstream has any more.
+    """
 
     def __init__(
         self,
@@ -129,7 +137,7 @@
             pool: Pool that gets the packets.
             arrivals: Flows to open.
             send_interval_seconds: Time between packets of an open flow. By
-                default none follow its opening until its end.
+                default no packet is sent between its opening and its end.
         """
         self._pool = pool
         self._send_interval_seconds = send_interval_seconds
@@ -139,7 +147,7 @@
         self._had_capacity: dict[int, bool] = {}
         self._free_since: dict[str, float] = {}
         self._sample_capacity()
-        self.lost_flows: set[CallerEndpoint] = set()
+        self.broken_flows: set[CallerEndpoint] = set()
         for arrival in arrivals:
             self._schedule(arrival.at, arrival, SYN, 0)
 
@@ -156,9 +164,9 @@
         )
 
     def has_free_capacity(self) -> bool:
-        """Return whether a warm host has had free capacity long enough.
+        """Return whether a warm host has had free capacity for 1 second.
 
-        Hosts that accept no new work do not count.
+        Hosts that accept no new work are left out.
         """
         latest = self._pool.clock.now - _KNOWN_CAPACITY_SECONDS
         return any(since <= latest for since in self._free_since.values())
@@ -179,7 +187,11 @@
         self._schedule(now + _OPEN_CHECK_SECONDS, arrival, ACK, tries + 1)
 
     def _continue(self, arrival: Arrival, tries: int, now: float) -> None:
-        """Send the next packet, or retry the opening if it failed."""
+        """Send the next packet, retry a failed opening or replace a lost flow.
+
+        ``tries`` is the number of attempts to open the flow; it is 0 if the
+        flow was open before.
+        """
         if self.has_owner(arrival):
             self.opened += bool(tries)
             self._had_capacity.pop(arrival.number, None)
@@ -187,7 +199,7 @@
             self._schedule_next(arrival, now)
             return
         if not tries:
-            self.lost_flows.add(arrival.endpoint)
+            self.broken_flows.add(arrival.endpoint)
             self._reconnect(arrival, now)
             return
         self.refused += 1
--- a/tests/lab/test_interleavings.py
+++ b/tests/lab/test_interleavings.py
@@ -24,12 +24,12 @@
 ENTRIES = 3
 #: More hosts than candidates in a packet, so that an owner may have to be
 #: found by other means.
-HOSTS_PREFIX = 8
-CENTRES = {number: 'a' if number < 5 else 'b' for number in range(HOSTS_PREFIX)}
+HOSTS = 8
+CENTRES = {number: 'a' if number < 5 else 'b' for number in range(HOSTS)}
 LAST_PACKETS = 3
 #: Longer than publishing a generation and any repair of state may take.
 SETTLE_SECONDS = 5
-HOST = st.integers(0, HOSTS_PREFIX - 1)
+HOST = st.integers(0, HOSTS - 1)
 
 
 def host_name(number: int) -> str:
@@ -45,7 +45,7 @@
         super().__init__()
         self.pool = Pool(seed=1)
         self.plan = PoolPlan(
-            dict.fromkeys(range(HOSTS_PREFIX), 'active'),
+            dict.fromkeys(range(HOSTS), 'active'),
             centres=CENTRES,
         )
         self.flows: dict[int, Flow] = {}
@@ -58,7 +58,7 @@
         """Start all processes with the first generation."""
         for number in range(ENTRIES):
             self.pool.add_entry(f'entry-{number}', number)
-        for number in range(HOSTS_PREFIX):
+        for number in range(HOSTS):
             self.pool.add_sidecar(host_name(number), host_address(number))
         self.publish(0)
         self.pool.run(SETTLE_SECONDS)
@@ -101,8 +101,8 @@
         """Drain some hosts or activate them again."""
         states = self.plan.states
         for number in numbers:
-            drains = states[number] == 'active'
-            states[number] = 'draining' if drains else 'active'
+            is_active = states[number] == 'active'
+            states[number] = 'draining' if is_active else 'active'
         if 'active' not in states.values():
             states[0] = 'active'
         self.publish(spread)
@@ -214,4 +214,4 @@
 
 
 class TestInterleavings(PoolModel.TestCase, unittest.TestCase):  # type: ignore[misc]
-    """Runs the rules in random order."""
+    """Runs the rules in orders that Hypothesis generates."""
--- a/tests/lab/test_pool.py
+++ b/tests/lab/test_pool.py
@@ -8,7 +8,7 @@
 from siskinbank.lab.pool import Pool
 from siskinbank.lab.standins.packets import ACK, SYN, Flow, make_packet
 
-HOSTS_PREFIX = 5
+HOSTS = 5
 FLOWS = 200
 
 
@@ -49,10 +49,10 @@
         pool = Pool(seed=1)
         for number in range(3):
             pool.add_entry(f'entry-{number}', number)
-        for position in range(HOSTS_PREFIX + 1):
+        for position in range(HOSTS + 1):
             name = f'matcher-{position}'
             pool.add_sidecar(name, (f'10.0.0.{position + 1}', 7100))
-        pool.publish(make_test_site(1, HOSTS_PREFIX))
+        pool.publish(make_test_site(1, HOSTS))
         flows = [
             Flow('10.9.0.1', port, '10.77.0.1', 443)
             for port in range(2000, 2000 + FLOWS)
@@ -60,7 +60,7 @@
         for flow in flows:
             pool.spray(make_packet(flow, SYN))
         pool.run(1)
-        pool.publish(make_test_site(2, HOSTS_PREFIX + 1, draining=1), spread=3)
+        pool.publish(make_test_site(2, HOSTS + 1, draining=1), spread=3)
         for _ in range(5):
             for flow in flows:
                 pool.spray(make_packet(flow, ACK, b'x'))
