--- a/siskinbank/lab/naive_policies.py
+++ b/siskinbank/lab/naive_policies.py
@@ -12,7 +12,8 @@
 
 _REPORT_INTERVAL_SECONDS = 1.0
 
-#: Chooses a host by the number of a flow and the last reported loads.
+#: Returns the number of the host for a flow, by the hash of the flow and the
+#: reported load of each host.
 Policy = Callable[[int, Sequence[int], random.Random], int]
 
 
@@ -51,7 +52,7 @@
     Attributes:
         policy: chooses the host of each flow.
         hosts: number of hosts.
-        lag_seconds: age from which a load report is visible to the policy.
+        lag_seconds: age at which a load report becomes visible to the policy.
         reports_zero: whether all hosts report a load of 0.
         rng: passed to the policy.
     """
@@ -74,27 +75,30 @@
             samples: sample times in seconds, ascending.
         """
         loads = [0 for _ in range(self.hosts)]
-        ends: list[tuple[float, int]] = []
+        flow_ends: list[tuple[float, int]] = []
         reports: deque[tuple[float, list[int]]] = deque([(0, loads.copy())])
         sampled_loads: list[list[int]] = []
         pending_samples = list(samples)
         for arrival in arrivals:
             while pending_samples and pending_samples[0] <= arrival.at:
-                _end_flows(ends, loads, pending_samples.pop(0))
+                _end_flows(flow_ends, loads, pending_samples.pop(0))
                 sampled_loads.append(loads.copy())
-            _end_flows(ends, loads, arrival.at)
-            visible_loads = self._visible_report(reports, loads, arrival.at)
+            _end_flows(flow_ends, loads, arrival.at)
+            visible_loads = self._visible_loads(reports, loads, arrival.at)
             host = self.policy(arrival.key, visible_loads, self.rng)
             loads[host] += 1
-            heapq.heappush(ends, (arrival.at + arrival.duration_seconds, host))
+            heapq.heappush(
+                flow_ends, (arrival.at + arrival.duration_seconds, host)
+            )
         return sampled_loads
 
-    def _visible_report(
+    def _visible_loads(
         self,
         reports: deque[tuple[float, list[int]]],
         loads: list[int],
         now: float,
     ) -> list[int]:
+        """Record a load report if one is due and return the latest visible."""
         if now - reports[-1][0] >= _REPORT_INTERVAL_SECONDS:
             reported_loads = (
                 [0 for _ in loads] if self.reports_zero else loads.copy()
@@ -106,9 +110,10 @@
 
 
 def _end_flows(
-    ends: list[tuple[float, int]],
+    flow_ends: list[tuple[float, int]],
     loads: list[int],
     now: float,
 ) -> None:
-    while ends and ends[0][0] <= now:
-        loads[heapq.heappop(ends)[1]] -= 1
+    """Remove the flows that have ended from a heap of end times and hosts."""
+    while flow_ends and flow_ends[0][0] <= now:
+        loads[heapq.heappop(flow_ends)[1]] -= 1
--- a/siskinbank/lab/naive_proxy.py
+++ b/siskinbank/lab/naive_proxy.py
@@ -1,4 +1,4 @@
-"""Naive proxy for comparison, which retries at a random upstream."""
+"""Naive proxy for comparison, which retries all failed requests."""
 
 import asyncio
 import contextlib
@@ -20,24 +20,24 @@
 class NaiveProxy:
     """Forwards requests to random upstreams and retries after a failure.
 
-    A retry follows every time-out and connection error, whether or not the
-    request may have run.
+    It retries after each timeout and connection error, also if the request may
+    have run.
     """
 
     def __init__(
         self,
-        hosts: Sequence[Address],
+        upstream_addresses: Sequence[Address],
         timeout: float,
         rng: random.Random,
     ) -> None:
         """Create a stopped proxy.
 
         Args:
-            hosts: addresses of the upstreams.
+            upstream_addresses: addresses of the upstreams or their links.
             timeout: time limit of each attempt in seconds.
             rng: chooses the upstreams.
         """
-        self._hosts = hosts
+        self._upstream_addresses = upstream_addresses
         self._timeout = timeout
         self._rng = rng
         self._session: ClientSession | None = None
@@ -75,7 +75,7 @@
         request: web.BaseRequest,
         body: bytes,
     ) -> web.Response:
-        host, port = self._rng.choice(self._hosts)
+        host, port = self._rng.choice(self._upstream_addresses)
         session: Any = self._session
         async with session.request(
             request.method,
--- a/siskinbank/lab/naive_rig.py
+++ b/siskinbank/lab/naive_rig.py
@@ -21,7 +21,7 @@
 
 @dataclass(slots=True)
 class NaiveRig:
-    """Proxies, byte stream links and upstreams.
+    """Proxies and upstreams, with links between them that forward byte streams.
 
     Attributes:
         rng: source of randomness for proxies, links, upstreams and faults.
@@ -30,7 +30,7 @@
         proxies: the proxies.
         links: the link to each upstream.
         upstreams: the upstreams.
-        addresses: address of each proxy.
+        proxy_addresses: address of each proxy.
         upstream_addresses: address of each upstream.
     """
 
@@ -40,7 +40,7 @@
     proxies: list[NaiveProxy] = field(default_factory=list)
     links: list[FaultyLink] = field(default_factory=list)
     upstreams: list[RequestUpstream] = field(default_factory=list)
-    addresses: list[Address] = field(default_factory=list)
+    proxy_addresses: list[Address] = field(default_factory=list)
     upstream_addresses: list[Address] = field(default_factory=list)
 
     async def start(self, proxies: int, hosts: int, faults: LinkFaults) -> None:
@@ -57,22 +57,22 @@
         ports = iter(free_ports(proxies + 2 * hosts))
         link_addresses = []
         for number in range(hosts):
-            address, upstream_address = (
+            link_address, upstream_address = (
                 (_LOOPBACK, next(ports)) for _ in range(2)
             )
-            link_addresses.append(address)
+            link_addresses.append(link_address)
             name = f'matcher-{number + 1}'
             upstream = RequestUpstream(name, self.slots, self.rng)
             await upstream.start(upstream_address)
             link = FaultyLink(upstream_address, faults, self.rng, frames=False)
-            await link.start(address)
+            await link.start(link_address)
             self.upstreams.append(upstream)
             self.upstream_addresses.append(upstream_address)
             self.links.append(link)
         for _ in range(proxies):
             proxy = NaiveProxy(link_addresses, self.timeout, self.rng)
-            self.addresses.append((_LOOPBACK, next(ports)))
-            await proxy.start(self.addresses[-1])
+            self.proxy_addresses.append((_LOOPBACK, next(ports)))
+            await proxy.start(self.proxy_addresses[-1])
             self.proxies.append(proxy)
 
     async def stop(self) -> None:
@@ -86,7 +86,10 @@
 
     def urls(self) -> list[str]:
         """Return the base URLs of the proxies."""
-        return ['http://{0}:{1}'.format(*address) for address in self.addresses]
+        return [
+            'http://{0}:{1}'.format(*address)
+            for address in self.proxy_addresses
+        ]
 
     async def inject_faults(self) -> None:
         """Pause links, cut links and restart upstreams until cancelled."""
@@ -97,8 +100,8 @@
             fault = self.rng.randrange(3)
             if fault == 0:
                 link.pause()
-                pause = self.rng.uniform(0, _MAX_PAUSE_SECONDS)
-                await asyncio.sleep(pause)
+                pause_seconds = self.rng.uniform(0, _MAX_PAUSE_SECONDS)
+                await asyncio.sleep(pause_seconds)
                 link.resume()
             elif fault == 1:
                 link.cut()
--- a/siskinbank/lab/overload.py
+++ b/siskinbank/lab/overload.py
@@ -1,4 +1,4 @@
-"""Goodput at three times the capacity of the upstreams."""
+"""Goodput under a load of three times the capacity of the upstreams."""
 
 import asyncio
 import random
@@ -23,6 +23,7 @@
 _SLOTS = 3
 _WORK_SECONDS = 0.6
 _DEADLINE_SECONDS = 2.4
+#: Time limit of each attempt of a naive proxy.
 _NAIVE_TIMEOUT_SECONDS = 1.2
 _LOAD_FACTOR = 3
 _RAMP_UP_SECONDS = 1.0
@@ -39,16 +40,21 @@
     Attributes:
         answered: number of answers within the deadline.
         late: number of answers after the deadline.
-        refusals: seconds until each other outcome.
+        refusal_seconds: seconds until each outcome other than an answer.
     """
 
     answered: int = 0
     late: int = 0
-    refusals: list[float] = field(default_factory=list)
+    refusal_seconds: list[float] = field(default_factory=list)
 
 
 def measure_overload(seed: int, seconds: float) -> ExperimentReport:
-    """Measure goodput relative to the capacity of the upstreams."""
+    """Measure goodput relative to the capacity of the upstreams.
+
+    Args:
+        seed: seed of the runs.
+        seconds: duration of the load after the ramp-up.
+    """
     results = run_virtual(_measure(seed, seconds, naive=False))
     naive_results = run_virtual(_measure(seed, seconds, naive=True))
     return ExperimentReport(
@@ -73,13 +79,15 @@
 async def _measure(seed: int, seconds: float, *, naive: bool) -> dict[str, Any]:
     rng = random.Random(seed)
     if naive:
-        proxies = NaiveRig(rng, _SLOTS, _NAIVE_TIMEOUT_SECONDS)
-        await proxies.start(_ENTRIES, _HOSTS, LinkFaults())
+        naive_rig = NaiveRig(rng, _SLOTS, _NAIVE_TIMEOUT_SECONDS)
+        await naive_rig.start(_ENTRIES, _HOSTS, LinkFaults())
         try:
-            upstreams = proxies.upstreams
-            return await _generate_load(upstreams, proxies.urls(), rng, seconds)
+            upstreams = naive_rig.upstreams
+            return await _generate_load(
+                upstreams, naive_rig.urls(), rng, seconds
+            )
         finally:
-            await proxies.stop()
+            await naive_rig.stop()
     rig = RequestRig(rng, _SLOTS)
     await rig.start(_ENTRIES, _HOSTS)
     try:
@@ -108,7 +116,7 @@
             while loop_time() - started < seconds + _RAMP_UP_SECONDS:
                 number += 1
                 url = rng.choice(urls)
-                request = Attempt(
+                attempt = Attempt(
                     f'load-{number}',
                     url,
                     b'load',
@@ -117,7 +125,7 @@
                 )
                 is_measured = loop_time() - started >= _RAMP_UP_SECONDS
                 group.create_task(
-                    _send(session, request, tally, is_measured=is_measured)
+                    _send(session, attempt, tally, is_measured=is_measured)
                 )
                 next_send += rng.expovariate(_LOAD_FACTOR * capacity)
                 await asyncio.sleep(max(next_send - loop_time(), 0))
@@ -127,28 +135,28 @@
         'offered': number / ((elapsed + _RAMP_UP_SECONDS) * capacity),
         'answered': tally.answered,
         'late': tally.late,
-        'refused': len(tally.refusals),
-        'refusal_seconds_p99': _percentile_99(tally.refusals),
+        'refused': len(tally.refusal_seconds),
+        'refusal_seconds_p99': _percentile_99(tally.refusal_seconds),
         'runs': sum(stand_in.runs.total() for stand_in in upstreams),
     }
 
 
 async def _send(
     session: aiohttp.ClientSession,
-    request: Attempt,
+    attempt: Attempt,
     tally: _Tally,
     *,
     is_measured: bool,
 ) -> None:
     loop_time = asyncio.get_running_loop().time
     started = loop_time()
-    outcome = await send_attempt(session, request)
+    outcome = await send_attempt(session, attempt)
     elapsed = loop_time() - started
     if not is_measured:
         return
     if outcome != 'answered':
-        tally.refusals.append(elapsed)
-    elif elapsed <= request.deadline:
+        tally.refusal_seconds.append(elapsed)
+    elif elapsed <= attempt.deadline:
         tally.answered += 1
     else:
         tally.late += 1
--- a/siskinbank/lab/request_faults.py
+++ b/siskinbank/lab/request_faults.py
@@ -10,9 +10,12 @@
 
 _FAULT_INTERVAL_SECONDS = 0.35
 _MAX_PAUSE_SECONDS = 1.2
+#: Downtime of a restarted process, and the longest time between two processes
+#: that apply an uneven pool change.
 _DOWNTIME_SECONDS = 0.2
 #: States to draw from; ``active`` is drawn twice as often as each other state.
 _HOST_STATES = ('active', 'active', 'draining', 'absent')
+#: A host whose change would leave fewer active hosts stays active.
 _MIN_ACTIVE_HOSTS = 3
 
 
@@ -28,7 +31,7 @@
 
         Args:
             rig: the rig, already started.
-            rng: draws the faults, hosts and durations.
+            rng: draws the faults, hosts, host states and durations.
         """
         self._rig = rig
         self._rng = rng
@@ -51,7 +54,10 @@
             await faults[name](self._random_host())
 
     async def restore(self) -> None:
-        """Restore all hosts: links, sidecars, upstreams and states."""
+        """Resume all links, start stopped processes and activate all hosts.
+
+        All upstreams are restarted, as a cancelled fault may have stopped one.
+        """
         for host in self._rig.hosts.values():
             host.link.resume()
             host.state = 'active'
@@ -87,7 +93,7 @@
         self._rig.publish()
 
     async def _change_pool_unevenly(self, host: RigHost) -> None:
-        """Apply a change to the processes one by one, in random order."""
+        """Apply a change at one process after another, in random order."""
         self._change_state(host)
         self._rig.generation += 1
         site = self._rig.site()
--- a/siskinbank/lab/request_log.py
+++ b/siskinbank/lab/request_log.py
@@ -18,10 +18,13 @@
 
 __all__ = ('Attempt', 'RequestLog', 'make_body', 'send_attempt')
 
-CROSSED = 'crossed'
+#: Outcomes in addition to those of the outcome header. The first is an answer
+#: that is not whole or belongs to another request.
+WRONG_ANSWER = 'crossed'
 CONNECTION_LOST = 'lost'
 CONNECTION_REFUSED = 'connection-refused'
-UNSETTLED = 'unsettled'
+#: Unknown outcome with status 503: the request may be sent again to resolve it.
+UNRESOLVED = 'unsettled'
 _INTERNAL_SERVER_ERROR = 500
 _SERVICE_UNAVAILABLE = 503
 _MAX_BODY_BYTES = 200_000
@@ -69,14 +72,16 @@
     def counts(self) -> Counter[str]:
         """Return the number of attempts by outcome."""
         return Counter(
-            outcome for seen in self.outcomes.values() for outcome in seen
+            outcome
+            for key_outcomes in self.outcomes.values()
+            for outcome in key_outcomes
         )
 
     def summarise(
         self,
         upstreams: Iterable[RequestUpstream],
     ) -> dict[str, int]:
-        """Return the counts for the report, such as runs for each key.
+        """Return the counts for the report, such as the most runs of one key.
 
         Args:
             upstreams: all upstreams, whose runs are added up by key.
@@ -90,7 +95,7 @@
             'answered': counts['answered'],
             'not_run': counts['not-run'],
             'unknown': counts['unknown'],
-            'unsettled': counts[UNSETTLED],
+            'unsettled': counts[UNRESOLVED],
             'connections_lost': counts[CONNECTION_LOST],
             'runs_for_a_key': max(
                 (runs[key] for key in self.non_idempotent_keys),
@@ -100,35 +105,36 @@
                 runs[key] > 1 for key in self.non_idempotent_keys
             ),
             'false_not_run': sum(
-                runs[key] > 0 and set(seen) <= {'not-run', CONNECTION_REFUSED}
-                for key, seen in self.outcomes.items()
+                runs[key] > 0
+                and set(key_outcomes) <= {'not-run', CONNECTION_REFUSED}
+                for key, key_outcomes in self.outcomes.items()
             ),
-            'bad_answers': counts[CROSSED],
+            'bad_answers': counts[WRONG_ANSWER],
         }
 
 
 def make_body(key: str, rng: random.Random) -> bytes:
-    """Return a body that is unique to a key; one in 10 may be large."""
+    """Return a body that repeats a key; one in 10 is up to 200 kB long."""
     size = rng.randrange(_MAX_BODY_BYTES) if rng.randrange(10) == 0 else 64
     return (f'{key} ' * (size // len(key) + 1)).encode()
 
 
-async def send_attempt(session: aiohttp.ClientSession, request: Attempt) -> str:
+async def send_attempt(session: aiohttp.ClientSession, attempt: Attempt) -> str:
     """Send one attempt and return its outcome as seen by the caller."""
     headers = {
-        KEY_HEADER: request.key,
-        DEADLINE_HEADER: str(request.deadline),
-        IDEMPOTENT_HEADER: str(request.idempotent).lower(),
+        KEY_HEADER: attempt.key,
+        DEADLINE_HEADER: str(attempt.deadline),
+        IDEMPOTENT_HEADER: str(attempt.idempotent).lower(),
     }
-    if request.ticket:
-        headers[TICKET_HEADER] = request.ticket
+    if attempt.ticket:
+        headers[TICKET_HEADER] = attempt.ticket
     try:
         async with session.post(
-            f'{request.url}/match',
-            data=request.body,
+            f'{attempt.url}/match',
+            data=attempt.body,
             headers=headers,
         ) as response:
-            return _classify(request, response, await response.read())
+            return _classify(attempt, response, await response.read())
     except aiohttp.ClientConnectorError:
         return CONNECTION_REFUSED
     except (aiohttp.ClientError, OSError):
@@ -136,23 +142,23 @@
 
 
 def _classify(
-    request: Attempt,
+    attempt: Attempt,
     response: aiohttp.ClientResponse,
     body: bytes,
 ) -> str:
     outcome = response.headers.get(OUTCOME_HEADER)
     if outcome is None:
-        # Without the outcome header only the status is available.
+        # Naive proxies send no outcome header; only the status is available.
         outcome = (
             'not-run'
             if response.status >= _INTERNAL_SERVER_ERROR
             else 'answered'
         )
     if outcome == 'unknown' and response.status == _SERVICE_UNAVAILABLE:
-        return UNSETTLED
+        return UNRESOLVED
     if outcome == 'answered':
         is_echo = (
-            body == request.body and response.headers['X-Key'] == request.key
+            body == attempt.body and response.headers['X-Key'] == attempt.key
         )
-        return outcome if is_echo else CROSSED
+        return outcome if is_echo else WRONG_ANSWER
     return outcome
--- a/siskinbank/lab/request_rig.py
+++ b/siskinbank/lab/request_rig.py
@@ -1,7 +1,7 @@
 """The complete request path in one process.
 
-Entries, links, sidecars and upstreams communicate over loopback in real time.
-The clock of the processes can be moved forward.
+Entries, links, sidecars and upstreams communicate over loopback. Their time is
+that of the event loop; the clock of entries and sidecars can be moved forward.
 """
 
 import asyncio
@@ -38,18 +38,26 @@
 
 SERVICE = 'matcher'
 _KEY_RING = KeyRing([Key(1, bytes(KEY_BYTES))])
+#: Ports of the link, the sidecar and the upstream.
 _PORTS_PER_HOST = 3
 
-
-#: Rig numbers wrap around here, since a rig's addresses have 16 bits for its
-#: number. Fewer rigs than this run at the same time.
+#: Rig numbers start again from 0 here, since a rig's addresses have 16 bits for
+#: its number. Fewer rigs than this run at the same time.
 _MAX_RIGS = 60_000
 _rig_numbers = itertools.count()
 
 
 @dataclass(slots=True)
 class RigEntry:
-    """The request path of an entry."""
+    """An entry with only its request path.
+
+    Attributes:
+        process: process context of the entry.
+        view: the entry's view of the fleet.
+        address: loopback address of the entry.
+        handle: handle of its ``http`` ingress.
+        url: base URL for callers.
+    """
 
     process: ProcessContext
     view: FleetView
@@ -65,13 +73,15 @@
     Attributes:
         name: name of the host.
         link: link between the entries and the sidecar.
-        link_address: address of the host in the configuration.
+        link_address: address that the link listens on; the host's address in
+            the configuration.
         sidecar_address: address that the sidecar binds.
         upstream: stand-in for the upstream.
         upstream_address: address that the upstream binds.
         process: process context of the sidecar; None while it is stopped.
         view: the sidecar's view of the fleet; None while it is stopped.
-        state: state in the next configuration; ``absent`` leaves it out.
+        state: state in the next configuration; a host that is ``absent`` is
+            left out.
     """
 
     name: str
@@ -92,8 +102,9 @@
     Attributes:
         rng: source of randomness for links and upstreams.
         slots: requests that each upstream runs at the same time.
-        clock_offset: seconds that the clock of the processes is ahead.
-        port: ``http`` port of the entries.
+        clock_offset: seconds by which the clock of entries and sidecars is
+            ahead of the event loop's.
+        port: port of the ``http`` ingress at all entries.
         number: number of the rig, part of its loopback addresses.
         generation: generation of the latest configuration.
         entries: entries in the order of their start.
@@ -110,7 +121,7 @@
     hosts: dict[str, RigHost] = field(default_factory=dict)
 
     def clock(self) -> float:
-        """Return the time of all processes in seconds."""
+        """Return the time of all entries and sidecars in seconds."""
         return asyncio.get_running_loop().time() + self.clock_offset
 
     async def start(
@@ -133,10 +144,10 @@
         address = _address(0, self.number)
         self.port, *ports = free_ports(1 + hosts * _PORTS_PER_HOST, address)
         for number in range(hosts):
-            first = number * _PORTS_PER_HOST
+            port_index = number * _PORTS_PER_HOST
             await self._add_host(
                 f'{SERVICE}-{number + 1}',
-                ports[first : first + _PORTS_PER_HOST],
+                ports[port_index : port_index + _PORTS_PER_HOST],
                 faults or LinkFaults(),
             )
         self.generation = 1
@@ -156,7 +167,7 @@
             await host.upstream.stop()
 
     def publish(self, *, new_generation: bool = True) -> None:
-        """Apply the current host states to all processes.
+        """Apply the current host states to all entries and sidecars.
 
         Args:
             new_generation: whether to publish them as a new generation.
@@ -166,16 +177,21 @@
         for view in self.views():
             view.adopt(site)
 
-    def publish_to(self, *parts: RigEntry | RigHost) -> None:
-        """Apply the current host states as a new generation to some parts."""
+    def publish_to(self, *recipients: RigEntry | RigHost) -> None:
+        """Apply the current host states as a new generation at some processes.
+
+        Args:
+            recipients: entries, and hosts whose sidecars get the generation;
+                a stopped sidecar is skipped.
+        """
         self.generation += 1
         site = self.site()
-        for part in parts:
-            if part.view is not None:
-                part.view.adopt(site)
+        for recipient in recipients:
+            if recipient.view is not None:
+                recipient.view.adopt(site)
 
     def views(self) -> list[FleetView]:
-        """Return the fleet views of all running processes."""
+        """Return the fleet views of all entries and running sidecars."""
         views = [entry.view for entry in self.entries]
         views.extend(host.view for host in self.hosts.values() if host.view)
         return views
@@ -250,7 +266,11 @@
         await self.kill_sidecar(name)
 
     async def drain_entry(self, number: int) -> None:
-        """Drain an entry."""
+        """Drain an entry.
+
+        Args:
+            number: index in ``entries``.
+        """
         entry = self.entries[number]
         entry.process.stopping.set()
         await entry.handle.drain()
@@ -265,20 +285,20 @@
         ports: Sequence[int],
         faults: LinkFaults,
     ) -> None:
-        link_address, sidecar, upstream = (
+        link_address, sidecar_address, upstream_address = (
             (_address(0, self.number), port) for port in ports
         )
-        link = FaultyLink(sidecar, faults, self.rng)
+        link = FaultyLink(sidecar_address, faults, self.rng)
         await link.start(link_address)
-        stand_in = RequestUpstream(name, self.slots, self.rng)
-        await stand_in.start(upstream)
+        upstream = RequestUpstream(name, self.slots, self.rng)
+        await upstream.start(upstream_address)
         self.hosts[name] = RigHost(
             name,
             link,
             link_address,
-            sidecar,
-            stand_in,
+            sidecar_address,
             upstream,
+            upstream_address,
         )
 
     async def _add_entry(self, number: int) -> None:
@@ -319,9 +339,15 @@
         return process, FleetView(process.log, self.clock)
 
 
-def _address(part: int, rig: int) -> str:
-    """Return a loopback address of a rig; part 0 is used by its hosts."""
-    return f'127.{part + 1}.{rig >> 8}.{rig & 0xFF}'
+def _address(index: int, rig_number: int) -> str:
+    """Return a loopback address of a rig.
+
+    Args:
+        index: 0 for the address of all hosts, which differ by their ports, or
+            the number of an entry plus 1.
+        rig_number: number of the rig.
+    """
+    return f'127.{index + 1}.{rig_number >> 8}.{rig_number & 0xFF}'
 
 
 def _host_document(host: RigHost) -> dict[str, Any]:
--- a/siskinbank/lab/request_stops.py
+++ b/siskinbank/lab/request_stops.py
@@ -11,7 +11,7 @@
 from siskinbank.lab.request_log import (
     CONNECTION_LOST,
     CONNECTION_REFUSED,
-    UNSETTLED,
+    UNRESOLVED,
     Attempt,
     RequestLog,
     make_body,
@@ -32,15 +32,15 @@
 
 
 async def measure_stops(seed: int, *, naive: bool) -> dict[str, Any]:
-    """Stop one entry, sidecar and upstream under load, over faultless links.
+    """Stop one entry, sidecar and upstream under load; no link has faults.
 
     A request counts as cut if its caller gets neither an answer nor a definite
     refusal: the connection breaks, or the outcome is unknown.
 
     Args:
         seed: seed of the run.
-        naive: whether to measure naive proxies instead of siskinbank. These
-            have no sidecars, so one proxy and one upstream are stopped.
+        naive: whether to measure naive proxies instead of siskinbank. There
+            are no sidecars then; one proxy and one upstream are stopped.
     """
     rng = random.Random(seed)
     log = await (_run_naive(rng) if naive else _run_siskinbank(rng))
@@ -48,7 +48,7 @@
     return {
         'stop_answered': counts['answered'],
         'stop_not_run': counts['not-run'],
-        'stop_unsettled': counts[UNSETTLED],
+        'stop_unsettled': counts[UNRESOLVED],
         'cut_by_stops': counts[CONNECTION_LOST] + counts['unknown'],
     }
 
@@ -70,7 +70,7 @@
 
 async def _stop_one_by_one(rig: RequestRig) -> None:
     await asyncio.sleep(_STOP_INTERVAL_SECONDS)
-    entry = asyncio.create_task(rig.drain_entry(0))
+    entry_drain = asyncio.create_task(rig.drain_entry(0))
     await asyncio.sleep(_STOP_INTERVAL_SECONDS)
     first, second = list(rig.hosts)[:2]
     await rig.drain_sidecar(first)
@@ -80,7 +80,7 @@
     rig.publish()
     await asyncio.sleep(2 * _WORK_SECONDS)
     await rig.hosts[second].upstream.drain()
-    await entry
+    await entry_drain
 
 
 async def _run_naive(rng: random.Random) -> RequestLog:
@@ -117,12 +117,12 @@
     log: RequestLog,
     rng: random.Random,
 ) -> None:
-    """Send a request, trying another entry if one refuses connections."""
+    """Send a request; try the next URL after a refused connection."""
     body = make_body(key, rng)
     idempotent = rng.randrange(2) == 0
     for url in rng.sample(urls, len(urls)):
-        request = Attempt(key, url, body, idempotent)
-        outcome = await send_attempt(session, request)
+        attempt = Attempt(key, url, body, idempotent)
+        outcome = await send_attempt(session, attempt)
         if outcome != CONNECTION_REFUSED:
             log.record(key, outcome, idempotent=idempotent)
             return
--- a/siskinbank/lab/request_upstream.py
+++ b/siskinbank/lab/request_upstream.py
@@ -40,8 +40,9 @@
         work_seconds: mean run time of a request.
         runs: number of runs by key.
         arrivals: number of requests received.
-        served: number of complete answers.
-        cancelled: number of requests whose caller disconnected early.
+        served: number of requests answered completely.
+        cancelled: number of requests cancelled before they were answered, for
+            example by a disconnect.
         headers: headers of each request received.
     """
 
@@ -114,8 +115,8 @@
         body = await request.content.read()
         key = request.headers.get(KEY_HEADER, '')
         self.runs[key] += 1
-        pause = self.work_seconds * self._rng.uniform(0.5, 1.5)
-        await asyncio.sleep(pause)
+        run_seconds = self.work_seconds * self._rng.uniform(0.5, 1.5)
+        await asyncio.sleep(run_seconds)
         if self.behaviour is Behaviour.hang:
             await asyncio.Event().wait()
         if self.behaviour is Behaviour.drop:
@@ -132,7 +133,7 @@
         body: bytes,
         headers: dict[str, str],
     ) -> web.StreamResponse:
-        """Send a body shorter than announced and abort the connection."""
+        """Send fewer bytes than ``Content-Length`` and abort the connection."""
         response = web.StreamResponse(headers=headers)
         response.content_length = len(body) + 1
         await response.prepare(request)
--- a/siskinbank/lab/requests.py
+++ b/siskinbank/lab/requests.py
@@ -33,9 +33,12 @@
 _HOSTS = 5
 _SLOTS = 6
 _REQUEST_INTERVAL_SECONDS = 0.02
+#: Requests are sent by ``RequestClient``, as copies with a ticket, or as copies
+#: with a key only.
 _REQUEST_KINDS = 3
 _MAX_COPIES = 3
 _MAX_COPY_DELAY_SECONDS = 1.5
+#: Faults of the links between entries and sidecars, per frame.
 _FRAME_FAULTS = LinkFaults(
     lose=0.001,
     double=0.01,
@@ -43,6 +46,7 @@
     cut=0.001,
     delay=0.002,
 )
+#: Faults of the naive proxies' links, per read of a byte stream.
 _STREAM_FAULTS = LinkFaults(cut=0.001, delay=0.002)
 _MAX_RUNS_PER_KEY = 1
 _MAX_AMPLIFICATION = 1.2
@@ -56,8 +60,8 @@
         urls: base URLs of the entries or proxies.
         rng: draws bodies, copies, delays and URLs.
         session: session for requests that ``RequestClient`` does not send.
-        use_tickets: whether a third of the keys use ``RequestClient`` and
-            another third use tickets; otherwise none does.
+        use_tickets: whether ``RequestClient`` sends a third of the requests and
+            another third have tickets; otherwise all have a key only.
         log: outcomes of the requests.
     """
 
@@ -68,7 +72,12 @@
     log: RequestLog = field(default_factory=RequestLog)
 
     async def run(self, keys: int, label: str) -> None:
-        """Send ``keys`` requests at a fixed rate and wait for the outcomes."""
+        """Send requests at a fixed rate and wait for the outcomes.
+
+        Args:
+            keys: number of requests, each with its own key.
+            label: prefix of the keys.
+        """
         clock = asyncio.get_running_loop().time
         async with RequestClient(self.urls, self.rng, clock) as client:
             async with asyncio.TaskGroup() as group:
@@ -127,8 +136,8 @@
     ) -> None:
         await asyncio.sleep(delay)
         url = self.rng.choice(self.urls)
-        request = Attempt(key, url, body, ticket=ticket)
-        outcome = await send_attempt(self.session, request)
+        attempt = Attempt(key, url, body, ticket=ticket)
+        outcome = await send_attempt(self.session, attempt)
         self.log.record(key, outcome, idempotent=False)
 
     async def _request_ticket(self, key: str) -> str:
@@ -143,7 +152,12 @@
 
 
 def measure_requests(seed: int, keys: int) -> ExperimentReport:
-    """Measure the request path and a naive proxy with the same seed."""
+    """Measure the request path and naive proxies with the same seed.
+
+    Args:
+        seed: seed of all runs.
+        keys: number of requests, each with its own key, under faults.
+    """
     results = run_virtual(_run_seeded(seed, keys, _measure_siskinbank))
     naive_results = run_virtual(_run_seeded(seed, keys, _measure_naive))
     results.update(run_virtual(measure_stops(seed, naive=False)))
--- a/siskinbank/lab/retry_storm.py
+++ b/siskinbank/lab/retry_storm.py
@@ -22,7 +22,7 @@
 
 
 async def measure_retry_storm(seed: int, *, naive: bool) -> dict[str, Any]:
-    """Return the requests that reach the upstreams per request of a caller.
+    """Return the mean number of requests to upstreams per request of a caller.
 
     Args:
         seed: seed of the run.
@@ -57,17 +57,18 @@
     urls: list[str],
     rng: random.Random,
 ) -> int:
+    """Send requests while all upstreams fail; return how many reach these."""
     for upstream in upstreams:
         upstream.behaviour = Behaviour.drop
     async with aiohttp.ClientSession() as session:
         async with asyncio.TaskGroup() as group:
             for number in range(_REQUESTS):
-                request = Attempt(
+                attempt = Attempt(
                     f'storm-{number}',
                     rng.choice(urls),
                     b'storm',
                     idempotent=True,
                 )
-                group.create_task(send_attempt(session, request))
+                group.create_task(send_attempt(session, attempt))
                 await asyncio.sleep(_REQUEST_INTERVAL_SECONDS)
     return sum(stand_in.arrivals for stand_in in upstreams)
