--- a/siskinbank/choice/placement.py
+++ b/siskinbank/choice/placement.py
@@ -93,7 +93,7 @@
         hosts: the hosts of its service.
         ordered: the best of those that may accept it.
         tried: addresses of the hosts that were tried.
-        queued_at: address of the host that has it queued, empty if none.
+        queueing_host: address of the host that has it queued, empty if none.
     """
     queueing = [
         host
--- a/siskinbank/entry/flow_cache.py
+++ b/siskinbank/entry/flow_cache.py
@@ -24,8 +24,8 @@
         ip: the host's address.
         confirmed: whether a sidecar has confirmed that its host holds the
             flow; until then ``ip`` is only where the first packet was sent.
-        queued_at: the host whose sidecar queues the first packet until a slot
-            is free, empty if none does.
+        queueing_host: the host whose sidecar queues the first packet until a
+            slot is free, empty if none does.
         last_seen: time of the last packet, in seconds.
         tried: hosts that the first packet was sent to.
     """
--- a/siskinbank/peers/readers.py
+++ b/siskinbank/peers/readers.py
@@ -80,9 +80,10 @@
         rng: Draws the jitter.
 
     Returns:
-        ``READ_SECONDS`` for a reader. For the others, once the readers have
-        failed to reach the platform for some time, an interval that grows
-        with the fleet, so that all of them together stay below a fixed rate.
+        ``READ_INTERVAL_SECONDS`` for a reader. For the others, once the
+        readers have failed to reach the platform for some time, an interval
+        that grows with the fleet, so that all of them together stay below a
+        fixed rate.
     """
     if rank is not None and rank < READERS_PER_DATA_CENTRE:
         return READ_INTERVAL_SECONDS
--- a/siskinbank/platform/records.py
+++ b/siskinbank/platform/records.py
@@ -86,7 +86,7 @@
             above 0.
         idempotent: whether requests may run more than once.
         target_latency_s: target latency in seconds.
-        limit_s: time in seconds after which a response is of no use to the
+        timeout_s: time in seconds after which a response is of no use to the
             client.
     """
 
--- a/siskinbank/sidecar/tracked_flows.py
+++ b/siskinbank/sidecar/tracked_flows.py
@@ -28,7 +28,7 @@
     """A request in progress.
 
     Attributes:
-        began: when its first packet was received.
+        started_at: when its first packet was received.
         name: the id that the client gave the request, for the logs.
         waited: whether it was queued because all slots were in use.
     """
@@ -36,7 +36,7 @@
     __slots__ = ('started_at', 'name', 'waited')
 
     def __init__(self, started_at: float, name: str) -> None:
-        """Initialize a request that starts at ``began``."""
+        """Initialize a request that starts at ``started_at``."""
         self.started_at = started_at
         self.name = name
         self.waited = False
@@ -51,9 +51,9 @@
         number: the host's initial sequence number, 0 if unknown.
         established: whether the host has sent more than its SYN.
         last_seen: time of the last packet.
-        head: first ``HEAD_BYTES`` bytes of the client's last packet.
+        header: first ``HEADER_BYTES`` bytes of the client's last packet.
         request: the request in progress.
-        ended: when the end of the flow was detected, 0 while it is open.
+        ended_at: when the end of the flow was detected, 0 while it is open.
     """
 
     __slots__ = (
@@ -123,7 +123,7 @@
     )
 
     def __init__(self, entry: str, sent_at: float, packet: bytes) -> None:
-        """Initialize a pending packet that ``entry`` sent at ``sent_at``."""
+        """Initialize a packet of ``entry``, sent to the host at ``sent_at``."""
         self.entry = entry
         self.sent_at = sent_at
         self.packet = packet
