--- a/siskinbank/admission/health_monitor.py
+++ b/siskinbank/admission/health_monitor.py
@@ -7,7 +7,7 @@
 
 from siskinbank.kernel.clock import Clock
 
-__all__ = ('Health', 'LoadReport', 'HealthMonitor', 'Verdict')
+__all__ = ('Health', 'HealthMonitor', 'LoadReport', 'Verdict')
 
 #: Failures in a row after which the upstream counts as unreachable.
 _UNREACHABLE_FAILURES = 3
--- a/siskinbank/admission/pending_queue.py
+++ b/siskinbank/admission/pending_queue.py
@@ -14,7 +14,7 @@
 
 from __future__ import annotations
 
-__all__ = ('QueuedOpening', 'PendingQueue', 'sent_ago_s')
+__all__ = ('PendingQueue', 'QueuedOpening', 'sent_ago_s')
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
@@ -65,7 +65,7 @@
         target_latency_s: target latency of the client, in seconds.
     """
 
-    __slots__ = ('target_latency_s', 'opening', 'sent', 'queued_at')
+    __slots__ = ('opening', 'queued_at', 'sent', 'target_latency_s')
 
     def __init__(
         self,
--- a/siskinbank/lab/configuration.py
+++ b/siskinbank/lab/configuration.py
@@ -82,8 +82,8 @@
     start = fleet.clock.now
     while fleet.clock.now - start < _TIMEOUT_SECONDS:
         fleet.run(_STEP_SECONDS)
-        if all(node.generation >= generation for node in fleet.alive):
-            latest = max(node.adopted[-1][0] for node in fleet.alive)
+        if all(node.generation >= generation for node in fleet.running_nodes):
+            latest = max(node.adopted[-1][0] for node in fleet.running_nodes)
             return latest - start
     return float('inf')
 
@@ -97,7 +97,7 @@
     """Publish during packet loss, paused processes and a region partition."""
     fleet.network.loss = _LOSS_SHARE
     count = max(int(len(fleet.nodes) * _PAUSED_SHARE), 1)
-    paused = fleet.rng.sample(fleet.alive, count)
+    paused = fleet.rng.sample(fleet.running_nodes, count)
     for node in paused:
         node.pause()
         fleet.network.after(_FAULT_SECONDS, node.resume)
@@ -148,7 +148,7 @@
 def _count_reverts(fleet: VirtualFleet) -> int:
     """Count how often a process returned to an older generation."""
     reverts = 0
-    for node in (*fleet.alive, *fleet.stopped_nodes):
+    for node in (*fleet.running_nodes, *fleet.stopped_nodes):
         generations = [generation for _at, generation in node.adopted]
         reverts += sum(
             later < earlier
@@ -163,8 +163,10 @@
     """Publish two documents of one generation, one to each region."""
     fleet.publish_conflict()
     fleet.run(_SETTLE_SECONDS)
-    keys = {node.gossip.store.in_force for node in fleet.alive}
-    counted = sum(node.metrics.value(Ignored.conflict) for node in fleet.alive)
+    keys = {node.gossip.store.in_force for node in fleet.running_nodes}
+    counted = sum(
+        node.metrics.value(Ignored.conflict) for node in fleet.running_nodes
+    )
     return {'documents': len(keys), 'conflicts_counted': counted}
 
 
@@ -196,7 +198,7 @@
 def _measure_idle_reads(fleet: VirtualFleet) -> float:
     start = fleet.clock.now
     fleet.run(_SETTLE_SECONDS)
-    return fleet.platform.rate(start, fleet.clock.now)
+    return fleet.platform.mean_call_rate(start, fleet.clock.now)
 
 
 @dataclass(slots=True)
--- a/siskinbank/lab/control.py
+++ b/siskinbank/lab/control.py
@@ -7,12 +7,12 @@
 from dataclasses import asdict
 from typing import Any
 
+from siskinbank.directory.live import InstanceState
 from siskinbank.lab.experiment import ExperimentReport, at_most
 from siskinbank.lab.memory import bare_kilobytes, import_costs
 from siskinbank.lab.node_state import measure_state
 from siskinbank.lab.real_fleet import measure_real
 from siskinbank.lab.virtual_fleet import VirtualFleet
-from siskinbank.directory.live import InstanceState
 from siskinbank.util import canonical_json
 
 __all__ = ('measure_control',)
@@ -102,12 +102,12 @@
     ``--real``.
     """
     network = fleet.network
-    datagrams, octets = network.datagrams, network.octets
+    datagrams, bytes_before = network.datagrams, network.bytes_sent
     gc.collect()
     started = time.process_time()
     seconds = run_scenario(fleet)
     processor_seconds = time.process_time() - started
-    bytes_sent = network.octets - octets
+    bytes_sent = network.bytes_sent - bytes_before
     bytes_sent += (network.datagrams - datagrams) * _HEADER_BYTES
     process_seconds = len(fleet.nodes) * seconds
     return {
@@ -144,7 +144,7 @@
     for instance in fleet.instances:
         if instance.data_centre == data_centre:
             fleet.kill(instance.name)
-    names = [node.identity.name for node in fleet.alive]
+    names = [node.identity.name for node in fleet.running_nodes]
     for second in range(_WORST_SECONDS):
         fleet.publish(second)
         fleet.restart(names[second % len(names)])
--- a/siskinbank/lab/cost.py
+++ b/siskinbank/lab/cost.py
@@ -144,7 +144,7 @@
     pool.publish(plan.next_site())
     pool.run(_SETTLE_SECONDS)
     for peers in (entry.ingress.peers, sidecar.context.peers):
-        peers.use(_DiscardingTransport())
+        peers.set_transport(_DiscardingTransport())
     pool.network.unbind((sidecar.address[0], UPSTREAM_PORT))
     return pool, entry, sidecar
 
@@ -252,11 +252,11 @@
     receivers: set[Address] = set()
     datagram_sizes: list[int] = []
 
-    def watch(datagram: bytes, receiver: Address) -> None:
+    def on_deliver(datagram: bytes, receiver: Address) -> None:
         datagram_sizes.append(len(datagram))
         receivers.add(receiver)
 
-    pool.network.watch = watch
+    pool.network.on_deliver = on_deliver
     start = time.process_time()
     pool.publish(plan.next_site())
     pool.run(_CONTROL_SECONDS)
--- a/siskinbank/lab/demo.py
+++ b/siskinbank/lab/demo.py
@@ -132,12 +132,12 @@
     await fleet.drain_host(_DRAINED_HOST)
     await wait_until(_OUT_AT_SECONDS)
     write_line(f'{_OUT_CENTRE} is taken out of service')
-    await fleet.set_data_centre(_OUT_CENTRE, 'out')
+    await fleet.set_data_centre_state(_OUT_CENTRE, 'out')
     out_at = time.time()
     await wait_until(_BACK_AT_SECONDS)
     write_line(f'{_OUT_CENTRE} is back in service')
     back_at = time.time()
-    await fleet.set_data_centre(_OUT_CENTRE, 'in')
+    await fleet.set_data_centre_state(_OUT_CENTRE, 'in')
     return out_at, back_at
 
 
--- a/siskinbank/lab/fault_injector.py
+++ b/siskinbank/lab/fault_injector.py
@@ -252,14 +252,14 @@
         async def work(disturbance: Disturbance) -> None:
             async with self._publishing:
                 await self._publish_and_record(
-                    lambda: self._fleet.set_data_centre(name, 'out'),
+                    lambda: self._fleet.set_data_centre_state(name, 'out'),
                 )
                 disturbance.start = time.time()
             await self._sleep_random(_DATA_CENTRE_OUT_SECONDS)
             disturbance.end = time.time()
             async with self._publishing:
                 await self._publish_and_record(
-                    lambda: self._fleet.set_data_centre(name, 'in'),
+                    lambda: self._fleet.set_data_centre_state(name, 'in'),
                 )
 
         return self._exclusive('data centre', Fault.data_centre_out, name, work)
--- a/siskinbank/lab/fleet.py
+++ b/siskinbank/lab/fleet.py
@@ -185,7 +185,7 @@
         self.instances = [*others, {**item, 'state': state}]
         await self.publish_instances()
 
-    async def set_data_centre(self, name: str, state: str) -> None:
+    async def set_data_centre_state(self, name: str, state: str) -> None:
         """Publish a data centre as ``in`` or ``out`` of service."""
         self.document['data_centres'][name]['state'] = state
         await self.publish()
--- a/siskinbank/lab/flow_traffic.py
+++ b/siskinbank/lab/flow_traffic.py
@@ -105,7 +105,7 @@
         self._owners: dict[int, int] = {}
         self._primary_cache: dict[tuple[int, int], str] = {}
         self._ranks: dict[int, Rank] = {}
-        pool.network.watch = self._observe
+        pool.network.on_deliver = self._observe
         pool.network.may_lose = _is_control
 
     def open(self, count: int) -> None:
--- a/siskinbank/lab/lookups.py
+++ b/siskinbank/lab/lookups.py
@@ -133,7 +133,7 @@
         self._dead_host: str | None = None
         self._arrival_times: list[float] = []
         self._hops = 0
-        self._pool.network.watch = self._observe
+        self._pool.network.on_deliver = self._observe
 
     def kill_new_host(self, with_dead_host: bool) -> None:
         """Kill one of the added hosts, which own no flow, if requested."""
--- a/siskinbank/lab/membership.py
+++ b/siskinbank/lab/membership.py
@@ -2,11 +2,11 @@
 
 from typing import Any
 
-from siskinbank.lab.experiment import ExperimentReport, at_least, at_most
-from siskinbank.lab.virtual_node import VirtualNode
-from siskinbank.lab.virtual_fleet import VirtualFleet
 from siskinbank.directory.failure_detection import SILENT_GONE_SECONDS
 from siskinbank.directory.live import InstanceState
+from siskinbank.lab.experiment import ExperimentReport, at_least, at_most
+from siskinbank.lab.virtual_fleet import VirtualFleet
+from siskinbank.lab.virtual_node import VirtualNode
 
 __all__ = ('measure_membership',)
 
@@ -113,7 +113,7 @@
 
 
 def _detection_spread(fleet: VirtualFleet, name: str) -> float:
-    known = [node.leaving_at.get(name) for node in fleet.alive]
+    known = [node.leaving_at.get(name) for node in fleet.running_nodes]
     if any(at is None for at in known):
         return float('inf')
     times = [at for at in known if at is not None]
@@ -133,7 +133,7 @@
         fleet.platform.instances = listed
         fleet.run(_LIST_EFFECT_SECONDS)
         omitted |= set(fleet.nodes) - {one.name for one in listed}
-    dropped = {name for node in fleet.alive for name in node.ever_gone}
+    dropped = {name for node in fleet.running_nodes for name in node.ever_gone}
     return len(dropped), len(omitted)
 
 
@@ -144,17 +144,18 @@
     fleet.kill(name)
     while fleet.clock.now - killed_at < _MAX_GONE_SECONDS + 1:
         fleet.run(_STEP_SECONDS)
-        if all(name in node.gossip.gone for node in fleet.alive):
+        if all(name in node.gossip.gone for node in fleet.running_nodes):
             break
     times = [
-        node.gone_at.get(name, float('inf')) - killed_at for node in fleet.alive
+        node.gone_at.get(name, float('inf')) - killed_at
+        for node in fleet.running_nodes
     ]
     return {'seconds_gone': max(times), 'seconds_gone_first': min(times)}
 
 
 def _pause_processes(fleet: VirtualFleet) -> dict[str, Any]:
     """Pause two processes for longer than the lease, then resume them."""
-    paused = fleet.alive[:2]
+    paused = fleet.running_nodes[:2]
     for paused_node in paused:
         paused_node.pause()
     fleet.publish(1)
@@ -192,26 +193,28 @@
     fleet.run(_PARTITION_SECONDS / 2)
     fleet.publish(2)
     fleet.run(_PARTITION_SECONDS / 2)
-    gone = max(len(node.gossip.gone - removed_names) for node in fleet.alive)
+    gone = max(
+        len(node.gossip.gone - removed_names) for node in fleet.running_nodes
+    )
     fleet.remove_partitions()
     healed_at = fleet.clock.now
-    before = fleet.network.octets
+    before = fleet.network.bytes_sent
     seconds = float('inf')
     while fleet.clock.now - healed_at < _MAX_HEAL_SECONDS + 1:
         fleet.run(_STEP_SECONDS)
         whole = not any(
-            node.gossip.gone - removed_names for node in fleet.alive
+            node.gossip.gone - removed_names for node in fleet.running_nodes
         )
         newest = all(
-            node.generation == fleet.generation for node in fleet.alive
+            node.generation == fleet.generation for node in fleet.running_nodes
         )
         if whole and newest:
             seconds = fleet.clock.now - healed_at
             break
-    octets = fleet.network.octets - before
+    bytes_sent = fleet.network.bytes_sent - before
     passed = max(fleet.clock.now - healed_at, 1)
     return {
         'gone_while_apart': gone,
         'seconds_to_heal': seconds,
-        'bytes_while_healing': octets / passed / len(fleet.nodes),
+        'bytes_while_healing': bytes_sent / passed / len(fleet.nodes),
     }
--- a/siskinbank/lab/network.py
+++ b/siskinbank/lab/network.py
@@ -40,9 +40,9 @@
         loss: probability that a datagram is lost, if it may be lost.
         may_lose: returns whether a datagram may be lost.
         cut: returns whether the path from sender to receiver is cut.
-        watch: called with each delivered datagram and its receiver.
+        on_deliver: called with each delivered datagram and its receiver.
         datagrams: number of datagrams sent.
-        octets: number of bytes sent.
+        bytes_sent: number of bytes sent.
     """
 
     def __init__(
@@ -68,9 +68,9 @@
         self.loss: float = 0
         self.may_lose: Callable[[bytes], bool] = _may_lose_any
         self.cut: Callable[[Address, Address], bool] = _never_cut
-        self.watch: Handler = _ignore_datagram
+        self.on_deliver: Handler = _ignore_datagram
         self.datagrams = 0
-        self.octets = 0
+        self.bytes_sent = 0
 
     def bind(self, address: Address, handler: Handler) -> FakeTransport:
         """Bind ``handler`` to an address; return a socket to send from it."""
@@ -84,7 +84,7 @@
     def send(self, datagram: bytes, sender: Address, receiver: Address) -> None:
         """Send one datagram; it may be lost."""
         self.datagrams += 1
-        self.octets += len(datagram)
+        self.bytes_sent += len(datagram)
         if self.loss and self.may_lose(datagram):
             if self._rng.random() < self.loss:
                 return
@@ -114,7 +114,7 @@
         sender: Address = ('0.0.0.0', 0),
     ) -> None:
         """Deliver a datagram without delay."""
-        self.watch(datagram, receiver)
+        self.on_deliver(datagram, receiver)
         handler = self._handlers.get(receiver)
         if handler is not None:
             handler(datagram, sender)
--- a/siskinbank/lab/pool.py
+++ b/siskinbank/lab/pool.py
@@ -10,6 +10,7 @@
 from siskinbank.choice.primary_hosts import PrimaryHosts
 from siskinbank.choice.router import Router
 from siskinbank.config.site import Address, Site
+from siskinbank.directory.view import FleetView
 from siskinbank.entry.context import EntryContext
 from siskinbank.entry.links import RequestLinks
 from siskinbank.ingress.fou import PacketIngress
@@ -19,7 +20,6 @@
 from siskinbank.lab.network import FakeNetwork
 from siskinbank.peers.connect import PeerStreams
 from siskinbank.peers.datagrams import PeerSocket
-from siskinbank.directory.view import FleetView
 from siskinbank.settings import EntrySettings, SidecarSettings
 from siskinbank.sidecar.context import SidecarContext
 from siskinbank.sidecar.packets import PacketHandler
@@ -103,7 +103,7 @@
         view = FleetView(process.log, self.clock)
         address = (f'10.200.{number >> 8}.{number & 0xFF}', 7100)
         peers = PeerSocket(self._keys, process.metrics)
-        peers.use(self.network.bind(address, peers.receive))
+        peers.set_transport(self.network.bind(address, peers.receive))
         settings = EntrySettings(
             name, 'a', address, address, '', self._keys, None, ''
         )
@@ -136,7 +136,7 @@
         process = self._make_process('sidecar', name)
         view = FleetView(process.log, self.clock)
         peers = PeerSocket(self._keys, process.metrics)
-        peers.use(self.network.bind(address, peers.receive))
+        peers.set_transport(self.network.bind(address, peers.receive))
         settings = SidecarSettings(
             name, 'a', address, address, '', self._keys, None, None, None
         )
--- a/siskinbank/lab/rig/client.py
+++ b/siskinbank/lab/rig/client.py
@@ -104,7 +104,7 @@
                 return flow
         raise FlowFailed('no answer to the first packet')
 
-    async def ask(
+    async def send_request(
         self,
         flow: ClientFlow,
         request_id: str,
@@ -132,7 +132,7 @@
     async def request(self, target: tuple[str, int], request_id: str) -> str:
         """Send one request over a new flow; return the body of the answer."""
         flow = await self.connect(target)
-        body = await self.ask(flow, request_id)
+        body = await self.send_request(flow, request_id)
         self._send(flow, FIN | ACK)
         return body
 
--- a/siskinbank/lab/rig/fleet.py
+++ b/siskinbank/lab/rig/fleet.py
@@ -25,7 +25,7 @@
     HOSTS_PREFIX,
 )
 
-__all__ = ('TARGET', 'Fleet', 'Program')
+__all__ = ('TARGET', 'Program', 'RelayFleet')
 
 #: Address of the only route of a new fleet.
 TARGET = ('198.18.0.1', 443)
@@ -96,7 +96,7 @@
 
 
 @dataclass
-class Fleet:
+class RelayFleet:
     """A small site of real processes and stand-ins.
 
     Attributes:
--- a/siskinbank/lab/virtual_fleet.py
+++ b/siskinbank/lab/virtual_fleet.py
@@ -86,7 +86,7 @@
         """Serve the latest document again."""
         self.manifest = self._latest
 
-    def rate(self, start: float, end: float) -> float:
+    def mean_call_rate(self, start: float, end: float) -> float:
         """Return the mean calls per second from ``start`` to ``end``."""
         seconds = range(int(start), int(end))
         total = sum(self.calls[second] for second in seconds)
@@ -267,7 +267,7 @@
         }
 
     @property
-    def alive(self) -> list[VirtualNode]:
+    def running_nodes(self) -> list[VirtualNode]:
         """The running nodes."""
         return list(self.nodes.values())
 
--- a/siskinbank/peers/datagrams.py
+++ b/siskinbank/peers/datagrams.py
@@ -104,9 +104,9 @@
 
     async def open(self, address: Address) -> None:
         """Bind to ``address``."""
-        self.use(await open_udp(address, self.receive))
+        self.set_transport(await open_udp(address, self.receive))
 
-    def use(self, transport: asyncio.DatagramTransport) -> None:
+    def set_transport(self, transport: asyncio.DatagramTransport) -> None:
         """Use a transport that is already open."""
         self._transport = transport
 
--- a/siskinbank/platform/records.py
+++ b/siskinbank/platform/records.py
@@ -90,7 +90,7 @@
             client.
     """
 
-    __slots__ = ('idempotent', 'timeout_s', 'shares', 'target_latency_s')
+    __slots__ = ('idempotent', 'shares', 'target_latency_s', 'timeout_s')
 
     def __init__(
         self,
--- a/siskinbank/sidecar/tracked_flows.py
+++ b/siskinbank/sidecar/tracked_flows.py
@@ -19,7 +19,7 @@
 if TYPE_CHECKING:
     from siskinbank.relay.messages import Opening
 
-__all__ = ('UnansweredPacket', 'Request', 'TrackedFlow')
+__all__ = ('Request', 'TrackedFlow', 'UnansweredPacket')
 
 _NO_SEQUENCE = -1
 
@@ -33,7 +33,7 @@
         waited: whether it was queued because all slots were in use.
     """
 
-    __slots__ = ('started_at', 'name', 'waited')
+    __slots__ = ('name', 'started_at', 'waited')
 
     def __init__(self, started_at: float, name: str) -> None:
         """Initialize a request that starts at ``started_at``."""
--- a/siskinbank/tracking/hosts.py
+++ b/siskinbank/tracking/hosts.py
@@ -7,7 +7,7 @@
 from siskinbank.admission import reasons
 from siskinbank.relay.messages import Status
 
-__all__ = ('SILENT_S', 'TrackedHost', 'HostTable')
+__all__ = ('SILENT_S', 'HostTable', 'TrackedHost')
 
 # A sidecar sends a status every 0.4 s; it counts as silent, in seconds, after
 # three missed ones.
--- a/siskinbank/wire/checks.py
+++ b/siskinbank/wire/checks.py
@@ -2,7 +2,7 @@
 
 from typing import Any
 
-__all__ = ('MAX_NAME_LENGTH', 'is_valid_name', 'is_number_below')
+__all__ = ('MAX_NAME_LENGTH', 'is_number_below', 'is_valid_name')
 
 #: Maximum length of the name of an instance or data centre, in characters.
 MAX_NAME_LENGTH = 63
--- a/tests/lab/test_dissemination.py
+++ b/tests/lab/test_dissemination.py
@@ -26,7 +26,7 @@
 
 def generations(fleet: VirtualFleet) -> set[int]:
     """Return the generations in force on the running nodes."""
-    return {node.generation for node in fleet.alive}
+    return {node.generation for node in fleet.running_nodes}
 
 
 class TestGenerationNeverReverts(unittest.TestCase):
@@ -66,8 +66,8 @@
         fleet.platform.down = True
         fleet.run(120)
         self.assertEqual(generations(fleet), {1})
-        self.assertTrue(all(node.gossip.fresh for node in fleet.alive))
-        self.assertFalse(any(node.gossip.gone for node in fleet.alive))
+        self.assertTrue(all(node.gossip.fresh for node in fleet.running_nodes))
+        self.assertFalse(any(node.gossip.gone for node in fleet.running_nodes))
         readers = 2 * READERS_PER_DATA_CENTRE * len(CENTRES)
         self.assertLessEqual(
             max(fleet.platform.calls.values()),
@@ -79,7 +79,7 @@
         fleet = make_fleet()
         fleet.publish_conflict()
         fleet.run(8)
-        keys = {node.gossip.store.in_force for node in fleet.alive}
+        keys = {node.gossip.store.in_force for node in fleet.running_nodes}
         self.assertEqual(len(keys), 1)
         conflicting = fleet.platform.conflicting
         assert conflicting is not None
@@ -88,10 +88,10 @@
         )
         logged = sum(
             node.log.event_counts[events.GENERATION_CONFLICT.number]
-            for node in fleet.alive
+            for node in fleet.running_nodes
         )
         counted = sum(
-            node.metrics.value(Ignored.conflict) for node in fleet.alive
+            node.metrics.value(Ignored.conflict) for node in fleet.running_nodes
         )
         self.assertGreater(logged, 0)
         self.assertGreater(counted, 0)
@@ -103,7 +103,7 @@
         fleet.publish()
         fleet.run(6)
         self.assertEqual(generations(fleet), {1})
-        for node in fleet.alive:
+        for node in fleet.running_nodes:
             self.assertEqual(node.gossip.store.refused[0], 2)
             self.assertIn('no data centre named', node.gossip.store.findings[0])
         fleet.document['data_centres']['south-b'] = {'region': 'south'}
--- a/tests/relay/test_end_to_end.py
+++ b/tests/relay/test_end_to_end.py
@@ -8,7 +8,7 @@
 from signal import SIGHUP, SIGTERM
 
 from siskinbank.lab.rig.client import ClientStandIn, FlowFailed
-from siskinbank.lab.rig.fleet import TARGET, Fleet
+from siskinbank.lab.rig.fleet import TARGET, RelayFleet
 from siskinbank.platform.encoding import Packet, RouteDocument
 from siskinbank.platform.packets import ACK, BOUNCED, SYN
 from siskinbank.platform.store import HOSTS_PREFIX
@@ -25,7 +25,7 @@
         """Start the fleet."""
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
-        self.fleet = Fleet(Path(folder.name))
+        self.fleet = RelayFleet(Path(folder.name))
         self.addAsyncCleanup(self.fleet.close)
         await self.fleet.open()
         await self.fleet.wait_until_ready()
@@ -59,31 +59,31 @@
         """After an entry failure another entry finds the host of a flow."""
         client = self.fleet.clients[0]
         flow = await client.connect(TARGET)
-        before = await client.ask(flow, 'before')
+        before = await client.send_request(flow, 'before')
         self.fleet.entries[0].kill()
         client.entry = self.fleet.entries[1].settings.ip
-        after = await client.ask(flow, 'after')
+        after = await client.send_request(flow, 'after')
         self.assertEqual(before.split()[1], after.split()[1])
 
     async def test_flow_survives_restart_of_all_processes(self) -> None:
         """Entries and sidecars are killed at once; the hosts keep the flow."""
         client = self.fleet.clients[0]
         flow = await client.connect(TARGET)
-        before = await client.ask(flow, 'before')
+        before = await client.send_request(flow, 'before')
         programs = [*self.fleet.entries, *self.fleet.sidecars]
         for program in programs:
             program.kill()
         for program in programs:
             program.start()
         await self.fleet.wait_until_ready()
-        after = await client.ask(flow, 'after')
+        after = await client.send_request(flow, 'after')
         self.assertEqual(before.split()[1], after.split()[1])
 
     async def test_flow_of_restarted_host_is_reset(self) -> None:
         """The host has lost the flow, which is reset before its deadline."""
         client = self.fleet.clients[0]
         flow = await client.connect(TARGET)
-        body = await client.ask(flow, 'before')
+        body = await client.send_request(flow, 'before')
         host = next(
             host for host in self.fleet.hosts if host.name == body.split()[1]
         )
@@ -91,7 +91,7 @@
         await asyncio.sleep(0.05)
         await host.open()
         with self.assertRaisesRegex(FlowFailed, 'reset'):
-            await client.ask(flow, 'after')
+            await client.send_request(flow, 'after')
 
     async def test_flow_of_failed_machine_is_reset(self) -> None:
         """Long before the host's record expires; also by a restarted entry."""
@@ -99,7 +99,7 @@
         for restarted in (False, True):
             await self.fleet.wait_until_ready()
             flow = await client.connect(TARGET)
-            body = await client.ask(flow, 'before')
+            body = await client.send_request(flow, 'before')
             index = int(body.split()[1].removeprefix('i-'))
             self.fleet.hosts[index].close()
             self.fleet.sidecars[index].kill()
@@ -107,7 +107,7 @@
                 self.fleet.entries[0].kill()
                 self.fleet.entries[0].start()
             with self.assertRaisesRegex(FlowFailed, 'reset'):
-                await client.ask(flow, 'after')
+                await client.send_request(flow, 'after')
             await self.fleet.hosts[index].open()
             self.fleet.sidecars[index].start()
 
@@ -115,7 +115,7 @@
         """Within the limit after its record changes; open flows continue."""
         client = self.fleet.clients[0]
         flow = await client.connect(TARGET)
-        first = await client.ask(flow, 'first')
+        first = await client.send_request(flow, 'first')
         index = int(first.split()[1].removeprefix('i-'))
         await self.fleet.register(index, draining=True)
         await asyncio.sleep(_MAX_APPLY_S)
@@ -123,7 +123,9 @@
         for number in range(20):
             await self.fleet.clients[number % 2].request(TARGET, f'd-{number}')
         self.assertEqual(len(self.fleet.hosts[index].accepted), accepted)
-        self.assertEqual(await client.ask(flow, 'last'), f'last i-{index}')
+        self.assertEqual(
+            await client.send_request(flow, 'last'), f'last i-{index}'
+        )
 
     async def test_evacuated_data_centre_gets_no_new_flows(self) -> None:
         """Data centre a is evacuated; it has hosts 0 and 2."""
@@ -219,7 +221,7 @@
             host.processing_s = 0.5
         client = self.fleet.clients[0]
         flow = await client.connect(TARGET)
-        request_task = asyncio.create_task(client.ask(flow, 'long'))
+        request_task = asyncio.create_task(client.send_request(flow, 'long'))
         await asyncio.sleep(0.2)
         for sidecar in self.fleet.sidecars:
             sidecar.signal(SIGTERM)
--- a/tools/start_cost.py
+++ b/tools/start_cost.py
@@ -85,10 +85,10 @@
     Returns:
         Seconds from the start of the process to the end of a request.
     """
-    from siskinbank.lab.rig.fleet import Fleet
+    from siskinbank.lab.rig.fleet import RelayFleet
 
     with tempfile.TemporaryDirectory() as folder:
-        fleet = Fleet(Path(folder), entry_count=1, host_count=1)
+        fleet = RelayFleet(Path(folder), entry_count=1, host_count=1)
         await fleet.open()
         try:
             await fleet.wait_until_ready()
