--- a/siskinbank/lab/cost.py
+++ b/siskinbank/lab/cost.py
@@ -144,7 +144,7 @@
     pool.publish(plan.next_site())
     pool.run(_SETTLE_SECONDS)
     for peers in (entry.ingress.peers, sidecar.context.peers):
-        peers.set_transport(_DiscardingTransport())
+        peers.attach_transport(_DiscardingTransport())
     pool.network.unbind((sidecar.address[0], UPSTREAM_PORT))
     return pool, entry, sidecar
 
--- a/siskinbank/lab/pool.py
+++ b/siskinbank/lab/pool.py
@@ -103,7 +103,7 @@
         view = FleetView(process.log, self.clock)
         address = (f'10.200.{number >> 8}.{number & 0xFF}', 7100)
         peers = PeerSocket(self._keys, process.metrics)
-        peers.set_transport(self.network.bind(address, peers.receive))
+        peers.attach_transport(self.network.bind(address, peers.receive))
         settings = EntrySettings(
             name, 'a', address, address, '', self._keys, None, ''
         )
@@ -136,7 +136,7 @@
         process = self._make_process('sidecar', name)
         view = FleetView(process.log, self.clock)
         peers = PeerSocket(self._keys, process.metrics)
-        peers.set_transport(self.network.bind(address, peers.receive))
+        peers.attach_transport(self.network.bind(address, peers.receive))
         settings = SidecarSettings(
             name, 'a', address, address, '', self._keys, None, None, None
         )
--- a/siskinbank/lab/virtual_node.py
+++ b/siskinbank/lab/virtual_node.py
@@ -141,7 +141,9 @@
         self.log = CountingLog()
         self.metrics = Metrics()
         self.peers = PeerSocket(_KEYS, self.metrics)
-        self.peers.set_transport(network.bind(identity.address, self._receive))
+        self.peers.attach_transport(
+            network.bind(identity.address, self._receive)
+        )
         self.rng = rng
         store = DocumentStore(self.log, self.metrics, _validate_once)
         self.gossip = Gossip(
--- a/siskinbank/peers/datagrams.py
+++ b/siskinbank/peers/datagrams.py
@@ -104,9 +104,9 @@
 
     async def open(self, address: Address) -> None:
         """Bind to ``address``."""
-        self.set_transport(await open_udp(address, self.receive))
+        self.attach_transport(await open_udp(address, self.receive))
 
-    def set_transport(self, transport: asyncio.DatagramTransport) -> None:
+    def attach_transport(self, transport: asyncio.DatagramTransport) -> None:
         """Use a transport that is already open."""
         self._transport = transport
 
--- a/tests/peers/test_datagrams.py
+++ b/tests/peers/test_datagrams.py
@@ -45,7 +45,9 @@
         network = FakeNetwork(FakeClock(), random.Random(1))
         network.bind(RECEIVER, self.peers.receive)
         sender_socket = PeerSocket(KEYS, Metrics())
-        sender_socket.set_transport(network.bind(SENDER, sender_socket.receive))
+        sender_socket.attach_transport(
+            network.bind(SENDER, sender_socket.receive)
+        )
         for sent in (OWNER, CANCEL):
             sender_socket.send_message(sent, RECEIVER)
         network.run(1)
--- a/tests/wire/test_replay.py
+++ b/tests/wire/test_replay.py
@@ -66,7 +66,7 @@
         """A replayed control datagram is counted and not delivered."""
         transport = RecordingTransport()
         sender = PeerSocket(RING, Metrics())
-        sender.set_transport(transport)  # type: ignore[arg-type]
+        sender.attach_transport(transport)  # type: ignore[arg-type]
         sender.send_message(Owner(b'f' * 13, bytes(6), 1, 1), PEER)
         metrics = Metrics()
         receiver = PeerSocket(RING, metrics)
