--- a/siskinbank/lab/commands/callers.py
+++ b/siskinbank/lab/commands/callers.py
@@ -132,8 +132,8 @@
                 self._start(self._requests.run_request())
             if tick % _TICKS_PER_FLOW == 0:
                 service = self._rng.choice(services)
-                length = self._rng.uniform(0, _MAX_SHORT_FLOW_SECONDS)
-                self._start(self._packets.run_flow(service, length))
+                flow_seconds = self._rng.uniform(0, _MAX_SHORT_FLOW_SECONDS)
+                self._start(self._packets.run_flow(service, flow_seconds))
             await asyncio.sleep(_TICK_SECONDS)
 
     def _start(self, work: Coroutine[Any, Any, None]) -> None:
--- a/siskinbank/lab/commands/configuration.py
+++ b/siskinbank/lab/commands/configuration.py
@@ -9,7 +9,7 @@
 
 command = make_command(
     'configuration',
-    'Measure how fast a configuration comes into force, and reverts.',
+    'Measure the time until a configuration is in force, reverts and reads.',
     measure_configuration,
     [
         click.Option(
--- a/siskinbank/lab/commands/control.py
+++ b/siskinbank/lab/commands/control.py
@@ -7,7 +7,7 @@
 
 __all__ = ('command',)
 
-_MAX_REAL = 100
+_MAX_REAL_PROCESSES = 100
 
 command = make_command(
     'control',
@@ -22,7 +22,7 @@
         ),
         click.Option(
             ['--real'],
-            type=click.IntRange(0, _MAX_REAL),
+            type=click.IntRange(0, _MAX_REAL_PROCESSES),
             default=0,
             show_default=True,
             help='Also measure this many separate processes on loopback.',
--- a/siskinbank/lab/commands/demo.py
+++ b/siskinbank/lab/commands/demo.py
@@ -23,7 +23,8 @@
         async with asyncio.timeout(_TIMEOUT_SECONDS):
             result = await run_demo(click.echo)
         click.echo(
-            f'flows lost with their data centre: {result.lost_with_data_centre}; '
+            'flows lost with their data centre: '
+            f'{result.lost_with_data_centre}; '
             f'tcp connections lost with the killed entry: '
             f'{result.lost_with_entry}; flows refused: '
             f'{result.refused_flows}',
--- a/siskinbank/lab/commands/fabric.py
+++ b/siskinbank/lab/commands/fabric.py
@@ -5,8 +5,8 @@
 import click
 
 from siskinbank.commands._options import ADDRESS
-from siskinbank.lab.standins.fabric import FabricStandIn
 from siskinbank.directory.client import PlatformClient
+from siskinbank.lab.standins.fabric import FabricStandIn
 from siskinbank.util import parse_address
 
 __all__ = ('command',)
--- a/siskinbank/lab/commands/membership.py
+++ b/siskinbank/lab/commands/membership.py
@@ -2,8 +2,8 @@
 
 import click
 
-from siskinbank.lab.membership import measure_membership
 from siskinbank.lab.experiment import make_command
+from siskinbank.lab.membership import measure_membership
 
 __all__ = ('command',)
 
--- a/siskinbank/lab/commands/upstream.py
+++ b/siskinbank/lab/commands/upstream.py
@@ -22,7 +22,10 @@
 @click.option('--slots', type=int, default=3, show_default=True)
 @click.option('--cold-slots', type=int, help='Slots when cold; default: all.')
 @click.option(
-    '--warm-up', type=float, default=0, help='Seconds until all slots.'
+    '--warm-up',
+    type=float,
+    default=0,
+    help='Seconds until all slots are available.',
 )
 def command(
     name: str,
--- a/siskinbank/lab/configuration.py
+++ b/siskinbank/lab/configuration.py
@@ -1,4 +1,4 @@
-"""Measure how fast a configuration comes into force, and reverts."""
+"""Measure the time until a configuration is in force, reverts and reads."""
 
 import random
 from dataclasses import dataclass, field
@@ -11,7 +11,7 @@
 __all__ = ('measure_configuration',)
 
 #: Targets: seconds until in force in all processes, reads per second.
-_MAX_SECONDS = 11
+_MAX_IN_FORCE_SECONDS = 11
 _MAX_READS_PER_SECOND = 2000
 _STEP_SECONDS = 0.25
 _TIMEOUT_SECONDS = 30
@@ -48,12 +48,12 @@
         [
             at_most(
                 'seconds in force, no faults',
-                _MAX_SECONDS,
+                _MAX_IN_FORCE_SECONDS,
                 figures['seconds_in_force'],
             ),
             at_most(
                 'seconds in force, loss, pauses and a partition',
-                _MAX_SECONDS,
+                _MAX_IN_FORCE_SECONDS,
                 figures['seconds_under_faults'],
             ),
             at_most('reverts', 0, figures['reverts']),
@@ -163,19 +163,19 @@
     """Publish two documents of one generation, one to each region."""
     fleet.publish_conflict()
     fleet.run(_SETTLE_SECONDS)
-    keys = {node.gossip.store.in_force for node in fleet.alive}
+    document_keys = {node.gossip.store.in_force for node in fleet.alive}
     counted = sum(node.metrics.value(Ignored.conflict) for node in fleet.alive)
-    return {'documents': len(keys), 'conflicts_counted': counted}
+    return {'documents': len(document_keys), 'conflicts_counted': counted}
 
 
 def _measure_reads(size: int, fleet: VirtualFleet, seed: int) -> dict[str, Any]:
     """Measure reads per second by fleet size and with the platform down."""
     rates: dict[int, float] = {}
-    for smaller in _READ_FLEET_SIZES:
-        if smaller < size:
-            other = VirtualFleet(smaller, seed)
-            other.start()
-            rates[smaller] = _measure_idle_reads(other)
+    for smaller_size in _READ_FLEET_SIZES:
+        if smaller_size < size:
+            smaller_fleet = VirtualFleet(smaller_size, seed)
+            smaller_fleet.start()
+            rates[smaller_size] = _measure_idle_reads(smaller_fleet)
     rates[size] = _measure_idle_reads(fleet)
     fleet.platform.down = True
     start = fleet.clock.now
@@ -201,9 +201,17 @@
 
 @dataclass(slots=True)
 class _Poller:
-    due: float
+    """A process of the naive fleet.
+
+    Attributes:
+        poll_phase: time of its polls as a share of the poll interval.
+        generation: generation in force.
+        adopted: generations put in force so far.
+    """
+
+    poll_phase: float
     generation: int = 1
-    taken: list[int] = field(default_factory=list)
+    adopted: list[int] = field(default_factory=list)
 
 
 def _simulate_naive(processes: int, seed: int) -> dict[str, Any]:
@@ -215,7 +223,7 @@
     pollers = [_Poller(rng.random()) for _ in range(processes)]
     reads = 0
     last_at: float = 0
-    for second in range(_MAX_SECONDS):
+    for second in range(_MAX_IN_FORCE_SECONDS):
         order = rng.sample(pollers, len(pollers))
         reads = max(reads, len(order) * 2)
         # Each poll reads the manifest and the list; reads over the limit are
@@ -224,15 +232,15 @@
             if poller.generation < 2:
                 poller.generation = 2
                 last_at = max(
-                    last_at, second + poller.due * _NAIVE_POLL_SECONDS
+                    last_at, second + poller.poll_phase * _NAIVE_POLL_SECONDS
                 )
-    behind = sum(one.generation < 2 for one in pollers)
+    lagging_count = sum(process.generation < 2 for process in pollers)
     restarted = rng.sample(pollers, int(processes * _RESTARTED_SHARE))
     for restarted_poller in restarted:
         # A restarted poller adopts the document of the stale platform.
         restarted_poller.generation = 1
     return {
-        'seconds_in_force': float('inf') if behind else last_at,
+        'seconds_in_force': float('inf') if lagging_count else last_at,
         'reads_a_second': reads,
-        'reverts': sum(one.generation < 2 for one in restarted),
+        'reverts': sum(process.generation < 2 for process in restarted),
     }
--- a/siskinbank/lab/control.py
+++ b/siskinbank/lab/control.py
@@ -1,4 +1,4 @@
-"""Measure control plane cost of a process: bytes, processor time, memory."""
+"""Measure the control plane cost of a process: bytes, CPU time, memory."""
 
 import asyncio
 import gc
@@ -7,12 +7,12 @@
 from dataclasses import asdict
 from typing import Any
 
+from siskinbank.directory.live import InstanceState
 from siskinbank.lab.experiment import ExperimentReport, at_most
 from siskinbank.lab.memory import bare_kilobytes, import_costs
 from siskinbank.lab.node_state import measure_state
 from siskinbank.lab.real_fleet import measure_real
 from siskinbank.lab.virtual_fleet import VirtualFleet
-from siskinbank.directory.live import InstanceState
 from siskinbank.util import canonical_json
 
 __all__ = ('measure_control',)
@@ -27,7 +27,7 @@
 _IDLE_SECONDS = 4
 _CHANGES = 4
 _CHANGE_INTERVAL_SECONDS = 2
-_WORST_SECONDS = 8
+_WORST_CASE_SECONDS = 8
 _FLEET_SIZES = (30, 60, 120)
 _STATE_FLEET_SIZES = (100, 400, 1600, 3610)
 #: IP and UDP headers of one datagram.
@@ -58,24 +58,24 @@
     fleet = VirtualFleet(processes, seed)
     idle = _measure_idle(fleet)
     change = _measure_cost(fleet, _run_frequent_changes)
-    changes = _CHANGES / (_CHANGES * _CHANGE_INTERVAL_SECONDS)
+    changes_per_second = _CHANGES / (_CHANGES * _CHANGE_INTERVAL_SECONDS)
     figures['bytes_a_second_idle'] = idle['bytes_a_second']
     figures['core_share_idle'] = idle['core_share']
-    for cost in ('bytes_a_second', 'core_share'):
-        each = max(change[cost] - idle[cost], 0) / changes
-        daily = idle[cost] + each * _CHANGES_A_DAY / _SECONDS_PER_DAY
-        figures[f'{cost}_260_changes_a_day'] = daily
+    for name in ('bytes_a_second', 'core_share'):
+        cost_per_change = max(change[name] - idle[name], 0) / changes_per_second
+        daily = idle[name] + cost_per_change * _CHANGES_A_DAY / _SECONDS_PER_DAY
+        figures[f'{name}_260_changes_a_day'] = daily
     worst = _measure_cost(fleet, _run_worst_case)
     figures['bytes_a_second_worst'] = worst['bytes_a_second']
     # The simulation validates each document once for all processes, so the
     # cost of one validation per process and change is added here; the worst
     # case has one change each second.
-    check_seconds = (
+    validation_seconds = (
         measure_state(processes, seed)['judge_ms'] / _MILLISECONDS_PER_SECOND
     )
-    figures['core_share_worst'] = worst['core_share'] + check_seconds
+    figures['core_share_worst'] = worst['core_share'] + validation_seconds
     figures['core_share_260_changes_a_day'] += (
-        check_seconds * _CHANGES_A_DAY / _SECONDS_PER_DAY
+        validation_seconds * _CHANGES_A_DAY / _SECONDS_PER_DAY
     )
     naive = _naive_cost(processes)
     bounds = [
@@ -102,13 +102,13 @@
     ``--real``.
     """
     network = fleet.network
-    datagrams, octets = network.datagrams, network.octets
+    datagrams_before, bytes_before = network.datagrams, network.octets
     gc.collect()
     started = time.process_time()
     seconds = run_scenario(fleet)
     processor_seconds = time.process_time() - started
-    bytes_sent = network.octets - octets
-    bytes_sent += (network.datagrams - datagrams) * _HEADER_BYTES
+    bytes_sent = network.octets - bytes_before
+    bytes_sent += (network.datagrams - datagrams_before) * _HEADER_BYTES
     process_seconds = len(fleet.nodes) * seconds
     return {
         'bytes_a_second': bytes_sent / process_seconds,
@@ -120,8 +120,8 @@
     if not fleet.generation:
         fleet.start()
 
-    def wait(idle: VirtualFleet) -> float:
-        idle.run(_IDLE_SECONDS)
+    def wait(idle_fleet: VirtualFleet) -> float:
+        idle_fleet.run(_IDLE_SECONDS)
         return _IDLE_SECONDS
 
     return _measure_cost(fleet, wait)
@@ -145,22 +145,24 @@
         if instance.data_centre == data_centre:
             fleet.kill(instance.name)
     names = [node.identity.name for node in fleet.alive]
-    for second in range(_WORST_SECONDS):
+    for second in range(_WORST_CASE_SECONDS):
         fleet.publish(second)
         fleet.restart(names[second % len(names)])
         fleet.set_listed_state(names[-second - 1], InstanceState.leaving)
         fleet.run(1)
-    return _WORST_SECONDS
+    return _WORST_CASE_SECONDS
 
 
 def _naive_cost(processes: int) -> dict[str, Any]:
     """Return the cost if each process polled manifest and list each second."""
     fleet = VirtualFleet(processes, 0)
     fleet.publish()
-    manifest = len(fleet.platform.manifest.raw)
-    lines = sum(len(canonical_json(asdict(one))) for one in fleet.instances)
+    manifest_bytes = len(fleet.platform.manifest.raw)
+    list_bytes = sum(
+        len(canonical_json(asdict(instance))) for instance in fleet.instances
+    )
     return {
-        'bytes_a_second_idle': manifest + lines,
+        'bytes_a_second_idle': manifest_bytes + list_bytes,
         'reads_a_second': 2 * processes,
     }
 
--- a/siskinbank/lab/demo.py
+++ b/siskinbank/lab/demo.py
@@ -12,7 +12,7 @@
 
 __all__ = ('DemoResult', 'run_demo')
 
-PLAN = FleetPlan(
+_FLEET_PLAN = FleetPlan(
     site='gr-north',
     data_centres=('gr-north-a', 'gr-north-b', 'gr-north-c'),
     entries=3,
@@ -26,9 +26,10 @@
 _BACK_AT_SECONDS = 15
 _GRACE_SECONDS = 3
 _CALLERS_TIMEOUT_SECONDS = 20
-_OUT_CENTRE = 'gr-north-c'
+_OUT_DATA_CENTRE = 'gr-north-c'
 _KILLED_ENTRY = 'entry-1'
 _DRAINED_HOST = 'matcher-1'
+#: Resolution of the counts in the upstreams' statistics.
 _BUCKETS_PER_SECOND = 10
 
 
@@ -94,10 +95,11 @@
     Args:
         write_line: called with each line of progress.
     """
-    fleet = Fleet(PLAN)
+    fleet = Fleet(_FLEET_PLAN)
     try:
         write_line(
-            f'starting {PLAN.entries} entries and 6 upstreams with sidecars'
+            f'starting {_FLEET_PLAN.entries} entries and 6 upstreams with '
+            'sidecars'
         )
         await fleet.start()
         write_line(f'load for {_LOAD_DURATION_SECONDS} s')
@@ -131,13 +133,13 @@
     write_line(f'{_DRAINED_HOST} drains')
     await fleet.drain_host(_DRAINED_HOST)
     await wait_until(_OUT_AT_SECONDS)
-    write_line(f'{_OUT_CENTRE} is taken out of service')
-    await fleet.set_data_centre(_OUT_CENTRE, 'out')
+    write_line(f'{_OUT_DATA_CENTRE} is taken out of service')
+    await fleet.set_data_centre(_OUT_DATA_CENTRE, 'out')
     out_at = time.time()
     await wait_until(_BACK_AT_SECONDS)
-    write_line(f'{_OUT_CENTRE} is back in service')
+    write_line(f'{_OUT_DATA_CENTRE} is back in service')
     back_at = time.time()
-    await fleet.set_data_centre(_OUT_CENTRE, 'in')
+    await fleet.set_data_centre(_OUT_DATA_CENTRE, 'in')
     return out_at, back_at
 
 
@@ -185,7 +187,7 @@
         result.lost_with_entry += 1
     elif (
         host is not None
-        and host.data_centre == _OUT_CENTRE
+        and host.data_centre == _OUT_DATA_CENTRE
         and flow['ended_at'] >= out_at
     ):
         result.lost_with_data_centre += 1
@@ -207,10 +209,8 @@
         result.not_run += 1
     elif outcome == 'unknown':
         result.unknown += 1
-    wrong_outcomes = outcome == 'crossed' or (
-        outcome == 'not-run' and run_count
-    )
-    if wrong_outcomes or (run_count > 1 and not request['idempotent']):
+    is_wrong = outcome == 'crossed' or (outcome == 'not-run' and run_count)
+    if is_wrong or (run_count > 1 and not request['idempotent']):
         result.wrong_outcomes.append(json.dumps({**request, 'runs': run_count}))
 
 
@@ -226,7 +226,7 @@
     result.wrong_service += sum(
         not target.endswith(f':{port}') for target in upstream['targets']
     )
-    if host.data_centre != _OUT_CENTRE:
+    if host.data_centre != _OUT_DATA_CENTRE:
         return
     first_bucket = (out_period[0] + _GRACE_SECONDS) * _BUCKETS_PER_SECOND
     last_bucket = out_period[1] * _BUCKETS_PER_SECOND - 1
--- a/siskinbank/lab/experiment.py
+++ b/siskinbank/lab/experiment.py
@@ -46,13 +46,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ExperimentReport:
-    """Figures of one run, beside those of a naive implementation.
+    """Figures of one run, beside those of a naive version.
 
     Attributes:
         experiment: name of the experiment.
         seed: seed of the run.
         siskinbank: figures of siskinbank by name.
-        naive: figures of the naive implementation by name.
+        naive: figures of the naive version by name.
         bounds: targets with the measured values.
     """
 
@@ -64,16 +64,19 @@
 
     @property
     def holds(self) -> bool:
-        """Return whether there are bounds and all of them hold."""
+        """Return whether there are bounds and all of them hold.
+
+        A run without bounds checks nothing, so it does not count as passed.
+        """
         return bool(self.bounds) and all(bound.holds for bound in self.bounds)
 
     def lines(self) -> list[str]:
         """Return the report as lines of text."""
         lines = [f'{self.experiment}, seed {self.seed}']
         for name in sorted(self.siskinbank.keys() | self.naive.keys()):
-            ours = _format_figure(self.siskinbank.get(name))
+            siskinbank = _format_figure(self.siskinbank.get(name))
             naive = _format_figure(self.naive.get(name))
-            lines.append(f'  {name}: {ours} (naive: {naive})')
+            lines.append(f'  {name}: {siskinbank} (naive: {naive})')
         for bound in self.bounds:
             verdict = 'holds' if bound.holds else 'DOES NOT HOLD'
             lines.append(
@@ -109,8 +112,8 @@
         """Run the experiment with the default of every other option."""
         context = self.make_context(self.name, [])
         option_values = {
-            name: chosen
-            for name, chosen in context.params.items()
+            name: default
+            for name, default in context.params.items()
             if name not in {'seed', 'as_json'}
         }
         return self._measure(seed=seed, **option_values)
--- a/siskinbank/lab/fault_injector.py
+++ b/siskinbank/lab/fault_injector.py
@@ -13,11 +13,13 @@
 
 __all__ = ('FaultInjector',)
 
+# Pairs are ranges (minimum, maximum) from which a value is drawn.
 _FAULT_INTERVAL_SECONDS = (0.5, 2.5)
+#: Time between a failure or stop and the matching change of the live list.
 _LIST_LAG_SECONDS = (0.3, 1.5)
 _RESTART_DELAY_SECONDS = (1.0, 3.0)
 _PAUSE_SECONDS = (0.3, 2.5)
-_DRAINED_SECONDS = (4.0, 7.0)
+_DRAINING_OR_LEAVING_SECONDS = (4.0, 7.0)
 _DATA_CENTRE_OUT_SECONDS = (6.0, 10.0)
 _PLATFORM_FAULT_SECONDS = (2.0, 6.0)
 _STOP_TIMEOUT_SECONDS = 60
@@ -53,7 +55,7 @@
 
         Args:
             fleet: fleet to disturb.
-            seed: seed of the choices.
+            seed: seed of the faults.
             write_line: called with one line for each fault.
             before_kill: awaited with the name of a host before it is killed.
         """
@@ -72,9 +74,13 @@
         self._publishing = asyncio.Lock()
 
     async def run(self, seconds: float) -> None:
-        """Inject faults for ``seconds``, then wait until all have ended."""
+        """Inject faults for ``seconds``, then wait until all have ended.
+
+        Each fault is attempted once, in random order, before any is repeated.
+        A fault is skipped if its target is already disturbed.
+        """
         until = time.monotonic() + seconds
-        factories = (
+        fault_factories = (
             self._kill_entry,
             self._pause_entry,
             self._stop_entry,
@@ -90,7 +96,9 @@
         remaining: list[Callable[[], Awaitable[None] | None]] = []
         while time.monotonic() < until:
             await asyncio.sleep(self._rng.uniform(*_FAULT_INTERVAL_SECONDS))
-            remaining = remaining or self._rng.sample(factories, len(factories))
+            remaining = remaining or self._rng.sample(
+                fault_factories, len(fault_factories)
+            )
             self._start(remaining.pop())
         if self._tasks:
             await asyncio.gather(*self._tasks)
@@ -109,7 +117,11 @@
         name: str,
         work: Callable[[Disturbance], Awaitable[None]],
     ) -> Awaitable[None] | None:
-        """Return ``work`` on a target, or None while the target is disturbed."""
+        """Return an awaitable that runs ``work`` and records the fault.
+
+        No other fault of the target is injected until the work has ended.
+        Returns None if the target is already disturbed.
+        """
         if target in self._disturbed_targets:
             return None
         self._disturbed_targets.add(target)
@@ -224,7 +236,7 @@
                     lambda: self._fleet.drain_host(name),
                 )
                 disturbance.start = time.time()
-            await self._sleep_random(_DRAINED_SECONDS)
+            await self._sleep_random(_DRAINING_OR_LEAVING_SECONDS)
             disturbance.end = time.time()
             async with self._publishing:
                 await self._publish_and_record(
@@ -240,7 +252,7 @@
             async with self._publishing:
                 await self._fleet.set_instance_state(name, 'leaving')
                 disturbance.start = time.time()
-            await self._sleep_random(_DRAINED_SECONDS)
+            await self._sleep_random(_DRAINING_OR_LEAVING_SECONDS)
             disturbance.end = time.time()
             await self._fleet.set_instance_state(name, 'live')
 
--- a/siskinbank/lab/invariants.py
+++ b/siskinbank/lab/invariants.py
@@ -17,9 +17,11 @@
 )
 
 _GRACE_SECONDS = 3
+#: Resolution of the counts in the upstreams' statistics.
 _BUCKETS_PER_SECOND = 10
 _START_MARGIN_SECONDS = 0.5
-_ANSWER_SECONDS = 5
+#: Time after an unplanned fault in which a request may still be interrupted.
+_FAULT_EFFECT_SECONDS = 5
 _MAX_EXAMPLES = 5
 
 
@@ -29,19 +31,19 @@
 
     Attributes:
         invariant: text of the invariant.
-        chances: number of checks.
+        check_count: number of checks.
         violations: number of checks that failed.
         examples: the first failures, as JSON.
     """
 
     invariant: str
-    chances: int = 0
+    check_count: int = 0
     violations: int = 0
     examples: list[str] = field(default_factory=list)
 
     def check(self, *, holds: bool, example: Any = '') -> None:
         """Count one check, with an example for a violation."""
-        self.chances += 1
+        self.check_count += 1
         if holds:
             return
         self.violations += 1
@@ -52,7 +54,7 @@
         """Return the invariant's line of the report."""
         verdict = 'VIOLATED' if self.violations else 'held'
         return (
-            f'{verdict}: {self.invariant}: {self.chances} chances, '
+            f'{verdict}: {self.invariant}: {self.check_count} chances, '
             f'{self.violations} violations'
         )
 
@@ -175,7 +177,7 @@
             for target in stats['targets']
             if not target.endswith(f':{port}')
         ]
-        tally.chances += sum(stats['arrivals'].values())
+        tally.check_count += sum(stats['arrivals'].values())
         for target in wrong_targets:
             tally.check(holds=False, example=(stats['name'], target))
     return tally
@@ -227,10 +229,15 @@
     buckets: dict[str, int],
     disturbance: Disturbance,
 ) -> int:
-    """Count arrivals from the end of a change's grace period to its end.
+    """Count packets or requests during a change, without its grace period.
 
     No process can learn of a change while the platform is down or stale; the
     grace period then starts when the platform has recovered.
+
+    Args:
+        evidence: observations of the run.
+        buckets: counts by tenth of a second since 1970.
+        disturbance: the planned change.
     """
     start = disturbance.start
     for outage in evidence.disturbances.of_kind(
@@ -308,7 +315,7 @@
         excused = faults.affected(
             _UNPLANNED_FAULTS,
             None,
-            span[0] - _ANSWER_SECONDS,
+            span[0] - _FAULT_EFFECT_SECONDS,
             span[1],
         )
         tally.check(holds=not cut or excused, example=request)
--- a/siskinbank/lab/membership.py
+++ b/siskinbank/lab/membership.py
@@ -2,11 +2,11 @@
 
 from typing import Any
 
-from siskinbank.lab.experiment import ExperimentReport, at_least, at_most
-from siskinbank.lab.virtual_node import VirtualNode
-from siskinbank.lab.virtual_fleet import VirtualFleet
 from siskinbank.directory.failure_detection import SILENT_GONE_SECONDS
 from siskinbank.directory.live import InstanceState
+from siskinbank.lab.experiment import ExperimentReport, at_least, at_most
+from siskinbank.lab.virtual_fleet import VirtualFleet
+from siskinbank.lab.virtual_node import VirtualNode
 
 __all__ = ('measure_membership',)
 
@@ -17,7 +17,7 @@
 _MAX_HEAL_SECONDS = 10
 #: Target for each process.
 _MAX_BYTES_PER_SECOND = 28_000
-_LIST_EFFECT_SECONDS = 8
+_SETTLE_SECONDS = 8
 _PAUSE_SECONDS = 20
 _PARTITION_SECONDS = 25
 _STEP_SECONDS = 0.25
@@ -101,38 +101,38 @@
     """
     name = fleet.instances[-1].name
     fleet.set_listed_state(name, InstanceState.leaving)
-    fleet.run(_LIST_EFFECT_SECONDS)
+    fleet.run(_SETTLE_SECONDS)
     return _detection_spread(fleet, name)
 
 
 def _leave_by_announcement(fleet: VirtualFleet) -> float:
     name = fleet.instances[-2].name
     fleet.nodes[name].gossip.declare_leaving()
-    fleet.run(_LIST_EFFECT_SECONDS)
+    fleet.run(_SETTLE_SECONDS)
     return _detection_spread(fleet, name)
 
 
 def _detection_spread(fleet: VirtualFleet, name: str) -> float:
-    known = [node.leaving_at.get(name) for node in fleet.alive]
-    if any(at is None for at in known):
+    learned_at = [node.leaving_at.get(name) for node in fleet.alive]
+    if any(at is None for at in learned_at):
         return float('inf')
-    times = [at for at in known if at is not None]
+    times = [at for at in learned_at if at is not None]
     return max(times) - min(times)
 
 
 def _serve_wrong_lists(fleet: VirtualFleet) -> tuple[int, int]:
-    """Serve a list of half the fleet, an empty one, then the whole list.
+    """Serve a list of half the fleet, an empty list, then the full list.
 
     Returns:
         The number of hosts that processes dropped, and the number that a
         process which follows each list would have dropped.
     """
-    whole = fleet.platform.instances
+    full_list = fleet.platform.instances
     omitted: set[str] = set()
-    for listed in (whole[::2], [], whole):
+    for listed in (full_list[::2], [], full_list):
         fleet.platform.instances = listed
-        fleet.run(_LIST_EFFECT_SECONDS)
-        omitted |= set(fleet.nodes) - {one.name for one in listed}
+        fleet.run(_SETTLE_SECONDS)
+        omitted |= set(fleet.nodes) - {instance.name for instance in listed}
     dropped = {name for node in fleet.alive for name in node.ever_gone}
     return len(dropped), len(omitted)
 
@@ -160,27 +160,28 @@
     fleet.publish(1)
     fleet.run(_PAUSE_SECONDS)
     resumed_at = fleet.clock.now
-    outdated_count = sum(_is_outdated(node, fleet) for node in paused)
+    lagging_count = sum(_is_lagging(node, fleet) for node in paused)
     acted_count = sum(node.gossip.fresh for node in paused)
     for resumed_node in paused:
         resumed_node.resume()
     seconds = float('inf')
-    while fleet.clock.now - resumed_at < _LIST_EFFECT_SECONDS:
+    while fleet.clock.now - resumed_at < _SETTLE_SECONDS:
         acted_count += sum(
-            one.gossip.fresh and _is_outdated(one, fleet) for one in paused
+            process.gossip.fresh and _is_lagging(process, fleet)
+            for process in paused
         )
         fleet.run(_STEP_SECONDS / 10)
-        if all(one.gossip.fresh for one in paused):
+        if all(process.gossip.fresh for process in paused):
             seconds = fleet.clock.now - resumed_at
             break
     return {
         'acted_while_stale': acted_count,
-        'would_act_at_once': outdated_count,
+        'would_act_at_once': lagging_count,
         'seconds_until_fresh': seconds,
     }
 
 
-def _is_outdated(node: VirtualNode, fleet: VirtualFleet) -> bool:
+def _is_lagging(node: VirtualNode, fleet: VirtualFleet) -> bool:
     return node.generation < fleet.generation
 
 
@@ -195,23 +196,23 @@
     gone = max(len(node.gossip.gone - removed_names) for node in fleet.alive)
     fleet.remove_partitions()
     healed_at = fleet.clock.now
-    before = fleet.network.octets
+    bytes_before = fleet.network.octets
     seconds = float('inf')
     while fleet.clock.now - healed_at < _MAX_HEAL_SECONDS + 1:
         fleet.run(_STEP_SECONDS)
-        whole = not any(
+        none_gone = not any(
             node.gossip.gone - removed_names for node in fleet.alive
         )
-        newest = all(
+        none_lagging = all(
             node.generation == fleet.generation for node in fleet.alive
         )
-        if whole and newest:
+        if none_gone and none_lagging:
             seconds = fleet.clock.now - healed_at
             break
-    octets = fleet.network.octets - before
-    passed = max(fleet.clock.now - healed_at, 1)
+    bytes_sent = fleet.network.octets - bytes_before
+    elapsed = max(fleet.clock.now - healed_at, 1)
     return {
         'gone_while_apart': gone,
         'seconds_to_heal': seconds,
-        'bytes_while_healing': octets / passed / len(fleet.nodes),
+        'bytes_while_healing': bytes_sent / elapsed / len(fleet.nodes),
     }
--- a/siskinbank/lab/node_state.py
+++ b/siskinbank/lab/node_state.py
@@ -1,4 +1,4 @@
-"""Measure control state of one process and the cost of a change."""
+"""Measure the control state of one process and the cost of a change."""
 
 import gc
 import random
@@ -8,12 +8,12 @@
 
 import msgpack
 
+from siskinbank.directory.roster import Roster, parse_record, record_of
+from siskinbank.directory.store import DocumentStore, judge_document
 from siskinbank.kernel.findings import Findings
 from siskinbank.kernel.metrics import Metrics
-from siskinbank.lab.virtual_node import CountingLog
 from siskinbank.lab.virtual_fleet import VirtualFleet
-from siskinbank.directory.roster import Roster, parse_record, record_of
-from siskinbank.directory.store import DocumentStore, judge_document
+from siskinbank.lab.virtual_node import CountingLog
 
 __all__ = ('measure_state',)
 
@@ -37,7 +37,11 @@
     fleet = VirtualFleet(size, seed)
     fleet.publish()
     manifest = fleet.platform.manifest
-    packed = [msgpack.packb(record_of(one, 1).parts) for one in fleet.instances]
+    packed = [
+        msgpack.packb(record_of(instance, 1).parts)
+        for instance in fleet.instances
+    ]
+    # Keeps the adopted site in memory until its size has been measured.
     references: list[Any] = []
     figures: dict[str, float] = {}
     tracemalloc.start()
--- a/siskinbank/lab/plots.py
+++ b/siskinbank/lab/plots.py
@@ -25,20 +25,20 @@
 
     Attributes:
         label: label in the plot.
-        ours: whether the figures are those of siskinbank.
+        is_siskinbank: whether the figures are those of siskinbank.
         value: length of the bar.
         points: points of the curve; empty for a bar.
     """
 
     label: str
-    ours: bool
+    is_siskinbank: bool
     value: float = 0
     points: tuple[float, ...] = ()
 
     @property
     def colour(self) -> str:
         """The colour of siskinbank or of the naive version."""
-        return _SISKINBANK_COLOUR if self.ours else _NAIVE_COLOUR
+        return _SISKINBANK_COLOUR if self.is_siskinbank else _NAIVE_COLOUR
 
 
 @dataclass(frozen=True, slots=True)
@@ -51,35 +51,39 @@
     @property
     def has_curves(self) -> bool:
         """Return whether the panel shows curves."""
-        return any(figure.points for figure in self.series)
+        return any(series.points for series in self.series)
 
 
 def make_panels(report: ExperimentReport) -> list[Panel]:
     """Return panels for the figures that can be compared.
 
-    Figures with the same name on both sides share a panel. So do naive
-    figures that end with a word, such as ``modulo_broken``, and siskinbank's
-    figures that start with it, such as ``broken_by_planned_changes``.
+    Figures with the same name on both sides share a panel. Other naive
+    figures are matched by the last word of their name with siskinbank's
+    figures that start with this word, such as ``modulo_broken`` with
+    ``broken_by_planned_changes``.
     """
-    ours, naive = report.siskinbank, report.naive
+    siskinbank, naive = report.siskinbank, report.naive
     panels = []
-    for name in ours:
+    for name in siskinbank:
         if name in naive:
-            panel = _make_panel(name, ours[name], naive[name])
+            panel = _make_panel(name, siskinbank[name], naive[name])
             if panel is not None:
                 panels.append(panel)
     panels.extend(_make_related_panels(report))
     return panels[:_MAX_PANELS]
 
 
-def _make_panel(name: str, ours: Any, naive: Any) -> Panel | None:
+def _make_panel(name: str, siskinbank: Any, naive: Any) -> Panel | None:
     title = name.replace('_', ' ')
-    if _is_number(ours) and _is_number(naive):
-        bars = Series('siskinbank', True, ours), Series('naive', False, naive)
+    if _is_number(siskinbank) and _is_number(naive):
+        bars = (
+            Series('siskinbank', True, siskinbank),
+            Series('naive', False, naive),
+        )
         return Panel(title, bars)
-    if _is_curve(ours) and _is_curve(naive):
+    if _is_curve(siskinbank) and _is_curve(naive):
         curves = (
-            Series('siskinbank', True, points=tuple(ours)),
+            Series('siskinbank', True, points=tuple(siskinbank)),
             Series('naive', False, points=tuple(naive)),
         )
         return Panel(title, curves)
@@ -91,18 +95,18 @@
 
     Naive figures are grouped by the last word of their names.
     """
-    stems: dict[str, list[Series]] = {}
+    naive_by_last_word: dict[str, list[Series]] = {}
     for name in report.naive.keys() - report.siskinbank.keys():
         if _is_number(report.naive[name]):
-            label, _underscore, stem = name.rpartition('_')
+            label, _underscore, last_word = name.rpartition('_')
             series = Series(f'naive\n{label}', False, report.naive[name])
-            stems.setdefault(stem, []).append(series)
+            naive_by_last_word.setdefault(last_word, []).append(series)
     panels = []
-    for stem in sorted(stems):
-        ours = _series_with_prefix(f'{stem}_', report.siskinbank)
-        naive = sorted(stems[stem], key=_label_of)
-        if ours:
-            panels.append(Panel(stem, (*ours, *naive)))
+    for last_word in sorted(naive_by_last_word):
+        siskinbank = _series_with_prefix(f'{last_word}_', report.siskinbank)
+        naive = sorted(naive_by_last_word[last_word], key=_label_of)
+        if siskinbank:
+            panels.append(Panel(last_word, (*siskinbank, *naive)))
     return panels
 
 
--- a/siskinbank/lab/report.py
+++ b/siskinbank/lab/report.py
@@ -73,10 +73,10 @@
     parts = [f'<h2 id="{name}">{name}</h2>']
     panels = make_panels(report)
     if panels:
-        picture = base64.b64encode(draw(panels)).decode()
+        image = base64.b64encode(draw(panels)).decode()
         parts.append(
             f'<img alt="{name}, siskinbank beside naive" '
-            f'src="data:image/png;base64,{picture}">',
+            f'src="data:image/png;base64,{image}">',
         )
     header = _row('bound', 'target', 'measured', 'verdict', tag='th')
     rows = [
--- a/siskinbank/lab/soak.py
+++ b/siskinbank/lab/soak.py
@@ -33,11 +33,12 @@
 _POLL_TIMEOUT_SECONDS = 1
 _MAX_IN_FORCE_SECONDS = 11
 _SECONDS_PER_MINUTE = 60
-_RESENT_SHARE = 0.2
+_RESENT_REQUESTS_SHARE = 0.2
 #: More concurrent requests than all upstreams have slots for, so that some
 #: are refused.
 _BURST_REQUESTS = 60
-_SEEDS_PER_RUN = 1000
+#: Range of callers' seeds of one soak seed; each round of load uses one.
+_CALLER_SEEDS_PER_RUN = 1000
 
 LineWriter = Callable[[str], None]
 
@@ -61,7 +62,7 @@
     @property
     def holds(self) -> bool:
         """Return whether invariants were checked and none was violated."""
-        checked = any(tally.chances for tally in self.tallies)
+        checked = any(tally.check_count for tally in self.tallies)
         return checked and not any(tally.violations for tally in self.tallies)
 
     def lines(self) -> list[str]:
@@ -157,7 +158,7 @@
         self.evidence.exit_codes = self.injector.exit_codes
 
     async def _collect_stats(self, name: str) -> None:
-        """Record an upstream's statistics at the end of its incarnation."""
+        """Record an upstream's statistics before it is killed or stopped."""
         self.evidence.upstreams.append(await self._fleet.stats(name))
 
     async def _run_load(self, seconds: float) -> None:
@@ -166,13 +167,15 @@
         while time.monotonic() < until:
             remaining = min(until - time.monotonic(), _LOAD_ROUND_SECONDS)
             await self._run_callers(
-                self._seed * _SEEDS_PER_RUN + number, remaining
+                self._seed * _CALLER_SEEDS_PER_RUN + number, remaining
             )
             number += 1
 
     async def _run_callers(self, seed: int, seconds: float) -> None:
         fleet = self._fleet
-        await fleet.start_callers(seconds, seed, _RESENT_SHARE, _BURST_REQUESTS)
+        await fleet.start_callers(
+            seconds, seed, _RESENT_REQUESTS_SHARE, _BURST_REQUESTS
+        )
         raw = await fleet.processes.output('callers', _CALLERS_TIMEOUT_SECONDS)
         report = json.loads(raw)
         self.evidence.flows.extend(report['flows'])
@@ -225,8 +228,9 @@
     def _is_late(self, published_at: float, state: _ProcessState) -> bool:
         """Return whether a process is past the deadline for a publication.
 
-        The time does not count while the platform is down or stale, or while
-        the process does not respond.
+        A process cannot learn of a publication while the platform is down or
+        stale, or while the process does not respond; the deadline counts from
+        the end of the last such period if that is after the publication.
         """
         injector = self.injector
         if not injector.platform_ok:
--- a/tests/lab/test_report.py
+++ b/tests/lab/test_report.py
@@ -20,14 +20,14 @@
     """Test the panels, the page and the list of experiments."""
 
     def test_panels(self) -> None:
-        """Check that same-named figures, curves and related figures get panels."""
+        """Check that matching figures, curves and related figures are shown."""
         panels = {panel.title: panel for panel in make_panels(REPORT)}
         self.assertEqual(set(panels), {'rate', 'curve', 'broken'})
         self.assertTrue(panels['curve'].has_curves)
-        bar_values = [figure.value for figure in panels['broken'].series]
+        bar_values = [bar.value for bar in panels['broken'].series]
         self.assertEqual(bar_values, [0, 7])
-        picture = draw(list(panels.values()))
-        self.assertTrue(picture.startswith(b'\x89PNG'))
+        image = draw(list(panels.values()))
+        self.assertTrue(image.startswith(b'\x89PNG'))
 
     def test_page(self) -> None:
         """Check that the page shows failed bounds and experiments not run."""
@@ -42,7 +42,7 @@
                 self.assertIn(part, page)
 
     def test_finds_experiments(self) -> None:
-        """Check that only experiments are found, no stand-ins or other commands."""
+        """Check that experiments are found, and no other commands."""
         found = experiments()
         self.assertLessEqual({'flows', 'forwarding', 'key-cost'}, set(found))
         self.assertFalse({'demo', 'soak', 'platform', 'report'} & set(found))
