--- a/siskinbank/lab/commands/callers.py
+++ b/siskinbank/lab/commands/callers.py
@@ -12,9 +12,9 @@
 
 from siskinbank.commands._options import ADDRESS
 from siskinbank.config.site import Address
-from siskinbank.lab.standins.connection_callers import ConnectionCallers
 from siskinbank.lab.standins.packet_callers import PacketCallers
 from siskinbank.lab.standins.request_callers import RequestCallers
+from siskinbank.lab.standins.connection_callers import ConnectionCallers
 from siskinbank.util import parse_address
 
 __all__ = ('command',)
@@ -132,8 +132,8 @@
                 self._start(self._requests.run_request())
             if tick % _TICKS_PER_FLOW == 0:
                 service = self._rng.choice(services)
-                length = self._rng.uniform(0, _MAX_SHORT_FLOW_SECONDS)
-                self._start(self._packets.run_flow(service, length))
+                flow_seconds = self._rng.uniform(0, _MAX_SHORT_FLOW_SECONDS)
+                self._start(self._packets.run_flow(service, flow_seconds))
             await asyncio.sleep(_TICK_SECONDS)
 
     def _start(self, work: Coroutine[Any, Any, None]) -> None:
