--- a/siskinbank/lab/commands/callers.py
+++ b/siskinbank/lab/commands/callers.py
@@ -12,9 +12,9 @@
 
 from siskinbank.commands._options import ADDRESS
 from siskinbank.config.site import Address
+from siskinbank.lab.standins.connection_callers import ConnectionCallers
 from siskinbank.lab.standins.packet_callers import PacketCallers
 from siskinbank.lab.standins.request_callers import RequestCallers
-from siskinbank.lab.standins.connection_callers import ConnectionCallers
 from siskinbank.util import parse_address
 
 __all__ = ('command',)
--- a/siskinbank/lab/control.py
+++ b/siskinbank/lab/control.py
@@ -102,12 +102,12 @@
     ``--real``.
     """
     network = fleet.network
-    datagrams_before, bytes_before = network.datagrams, network.octets
+    datagrams_before, bytes_before = network.datagrams, network.bytes_sent
     gc.collect()
     started = time.process_time()
     seconds = run_scenario(fleet)
     processor_seconds = time.process_time() - started
-    bytes_sent = network.octets - bytes_before
+    bytes_sent = network.bytes_sent - bytes_before
     bytes_sent += (network.datagrams - datagrams_before) * _HEADER_BYTES
     process_seconds = len(fleet.nodes) * seconds
     return {
--- a/siskinbank/lab/forwarding.py
+++ b/siskinbank/lab/forwarding.py
@@ -13,8 +13,8 @@
 from siskinbank.lab.fleet import Fleet, FleetPlan
 from siskinbank.lab.ports import free_ports
 from siskinbank.lab.standins.packets import ACK, Flow, make_packet
-from siskinbank.wire.keys import KeyRing, parse_keys
 from siskinbank.wire.flow_messages import Owner
+from siskinbank.wire.keys import KeyRing, parse_keys
 from siskinbank.wire.messages import encode
 from siskinbank.wire.packets import pack_address, parse_inner
 from siskinbank.wire.replay import ReplayGuard
