--- a/siskinbank/directory/client.py
+++ b/siskinbank/directory/client.py
@@ -33,7 +33,7 @@
     """A read-only client of the platform.
 
     Attributes:
-        list_transfer_bytes: Size of the last transfer of the live list; 0 if
+        list_transfer_bytes: size of the last transfer of the live list; 0 if
             the list was unchanged.
     """
 
@@ -49,7 +49,7 @@
         """Return the published generation and digests.
 
         Raises:
-            PlatformError: There was no valid answer.
+            PlatformError: there was no valid answer.
         """
         return _parse_manifest(await self._get('/v1/manifest') or b'')
 
@@ -57,7 +57,7 @@
         """Wait for a generation other than ``after``, or for the timeout.
 
         Raises:
-            PlatformError: There was no valid answer.
+            PlatformError: there was no valid answer.
         """
         path = f'/v1/manifest?after={after}&wait={_WATCH_SECONDS}'
         raw = await self._get(path, _WATCH_SECONDS + _READ_TIMEOUT_SECONDS)
@@ -67,7 +67,7 @@
         """Return the bytes of the section with this digest.
 
         Raises:
-            PlatformError: There was no answer, or the digest differs.
+            PlatformError: there was no answer, or the digest differs.
         """
         raw = await self._get(f'/v1/sections/{name}') or b''
         if hex_digest(raw) != digest:
@@ -78,7 +78,7 @@
         """Return the live list; it is parsed only if it has changed.
 
         Raises:
-            PlatformError: There was no valid answer.
+            PlatformError: there was no valid answer.
         """
         raw = await self._get(_LIST_PATH, tag=self._list_tag)
         if raw is None and self._instances is not None:
--- a/siskinbank/directory/live.py
+++ b/siskinbank/directory/live.py
@@ -54,7 +54,7 @@
     """Parse the published live list.
 
     Raises:
-        ValueError: The list is malformed.
+        ValueError: the list is malformed.
     """
     try:
         models = _LIST.validate_json(raw)
--- a/siskinbank/directory/roster.py
+++ b/siskinbank/directory/roster.py
@@ -137,10 +137,10 @@
     """An index derived from a roster.
 
     Attributes:
-        records: All records, ordered by the hash of their names.
-        rings: The records of each data centre in the same order. Like
+        records: all records, ordered by the hash of their names.
+        rings: the records of each data centre in the same order. Like
             ``records`` it includes leaving and absent instances.
-        leaving: The names of the instances that are listed as leaving.
+        leaving: the names of the instances that are listed as leaving.
     """
 
     records: tuple[Record, ...]
--- a/siskinbank/directory/store.py
+++ b/siskinbank/directory/store.py
@@ -122,7 +122,7 @@
         """Return the digests that a document still lacks.
 
         Raises:
-            ValueError: The blob is not the manifest of this document.
+            ValueError: the blob is not the manifest of this document.
         """
         manifest = self._manifest(key)
         if manifest is None:
--- a/siskinbank/lab/cold.py
+++ b/siskinbank/lab/cold.py
@@ -43,12 +43,12 @@
     """Results of one run.
 
     Attributes:
-        excess: Number of packets at upstreams above their limit.
-        burst_excess: Number of new connections above the limit per second.
-        collapse_count: Number of collapses besides the injected one.
-        recovery_seconds: Time until the cold host has its share again.
-        broken_flows: Number of flows broken besides the injected collapse.
-        opened: Number of opened flows.
+        excess: number of packets at upstreams above their limit.
+        burst_excess: number of new connections above the limit per second.
+        collapse_count: number of collapses besides the injected one.
+        recovery_seconds: time until the cold host has its share again.
+        broken_flows: number of flows broken besides the injected collapse.
+        opened: number of opened flows.
     """
 
     excess: int
--- a/siskinbank/lab/data_centre.py
+++ b/siskinbank/lab/data_centre.py
@@ -48,17 +48,17 @@
     """Results of one run.
 
     Attributes:
-        late_packets: Number of packets to hosts out of service, from 3
+        late_packets: number of packets to hosts out of service, from 3
             seconds after the publication on.
-        broken_flows: Number of broken flows of other hosts.
-        falsely_refused: Number of refused attempts to open a flow while a
+        broken_flows: number of broken flows of other hosts.
+        falsely_refused: number of refused attempts to open a flow while a
             host had capacity.
-        refused: Number of refused attempts to open a flow.
-        abandoned_flows: Number of flows dropped by hosts out of service.
-        opened: Number of opened flows.
-        excess: Number of packets at upstreams above their limit.
-        burst_excess: Number of new connections above the limit per second.
-        recovery_seconds: Time until the hosts have their share again, by
+        refused: number of refused attempts to open a flow.
+        abandoned_flows: number of flows dropped by hosts out of service.
+        opened: number of opened flows.
+        excess: number of packets at upstreams above their limit.
+        burst_excess: number of new connections above the limit per second.
+        recovery_seconds: time until the hosts have their share again, by
             round.
     """
 
--- a/siskinbank/lab/fairness.py
+++ b/siskinbank/lab/fairness.py
@@ -41,13 +41,13 @@
     """Balance of a pool and its cost.
 
     Attributes:
-        worst_ratio: Maximum over time of the ratio of the highest load of a
+        worst_ratio: maximum over time of the ratio of the highest load of a
             host to the mean load.
-        mean_ratio: Mean over time of that ratio.
-        hops: Extra hops per opened flow.
-        control_bytes_per_second: Bytes per second of the load exchange, sent
+        mean_ratio: mean over time of that ratio.
+        hops: extra hops per opened flow.
+        control_bytes_per_second: bytes per second of the load exchange, sent
             and received, per host.
-        refused: Number of refused attempts to open a flow.
+        refused: number of refused attempts to open a flow.
     """
 
     worst_ratio: float
@@ -112,13 +112,13 @@
     The load endpoints of the hosts do not affect the choice of a host.
 
     Args:
-        seed: Seed of the pool.
-        entries: Number of entries.
-        hosts: Number of hosts.
-        arrivals: Flows to send.
-        lag_seconds: Delay of the load reports between sidecars, which the
+        seed: seed of the pool.
+        entries: number of entries.
+        hosts: number of hosts.
+        arrivals: flows to send.
+        lag_seconds: delay of the load reports between sidecars, which the
             receivers treat as current.
-        weights: Weights of hosts by number, where they differ from 1.
+        weights: weights of hosts by number, where they differ from 1.
     """
     pool = Pool(seed)
     for number in range(entries):
--- a/siskinbank/lab/flow_traffic.py
+++ b/siskinbank/lab/flow_traffic.py
@@ -42,16 +42,16 @@
     """One flow, which its caller keeps open until the end of the run.
 
     Attributes:
-        endpoints: Addresses and ports of caller and service.
+        endpoints: addresses and ports of caller and service.
         number: 64-bit flow number.
-        udp: Whether it is a UDP flow.
-        owner: Host that accepted the flow.
-        naive_hosts: Hosts that the naive balancers chose for the first
+        udp: whether it is a UDP flow.
+        owner: host that accepted the flow.
+        naive_hosts: hosts that the naive balancers chose for the first
             packet, by balancer.
-        pending_sequence: Sequence number of the packet whose delivery is not
+        pending_sequence: sequence number of the packet whose delivery is not
             checked yet.
-        consecutive_losses: Number of packets lost since the last delivery.
-        failure: Why the flow broke.
+        consecutive_losses: number of packets lost since the last delivery.
+        failure: why the flow broke.
     """
 
     endpoints: Flow
@@ -68,17 +68,17 @@
     """Sends packets of all flows and records where they are delivered.
 
     Attributes:
-        flows: All flows that were opened.
-        naive_broken: Numbers of the flows that would have broken with a naive
+        flows: all flows that were opened.
+        naive_broken: numbers of the flows that would have broken with a naive
             balancer, by balancer.
-        hops: Number of delivered packets by extra hops, without the first
+        hops: number of delivered packets by extra hops, without the first
             packet of each flow.
-        moved_hops: The same for flows whose owner is not their primary host.
-        packets: Number of packets sent.
-        lost_packets: Number of packets that were not delivered, without those
+        moved_hops: the same for flows whose owner is not their primary host.
+        packets: number of packets sent.
+        lost_packets: number of packets that were not delivered, without those
             of killed hosts.
-        two_owners: Numbers of the flows that reached two hosts.
-        dead_hosts: Hosts that were killed.
+        two_owners: numbers of the flows that reached two hosts.
+        dead_hosts: hosts that were killed.
     """
 
     def __init__(self, pool: Pool, rng: random.Random) -> None:
--- a/siskinbank/lab/flows.py
+++ b/siskinbank/lab/flows.py
@@ -33,11 +33,11 @@
     """Parameters of one run.
 
     Attributes:
-        entries: Number of entries.
-        hosts: Number of hosts at the start.
-        flows: Number of flows that are opened at the start.
-        changes: Number of planned changes.
-        loss: Share of the control datagrams that are lost.
+        entries: number of entries.
+        hosts: number of hosts at the start.
+        flows: number of flows that are opened at the start.
+        changes: number of planned changes.
+        loss: share of the control datagrams that are lost.
     """
 
     entries: int = 4
--- a/siskinbank/lab/limited_upstream.py
+++ b/siskinbank/lab/limited_upstream.py
@@ -40,26 +40,26 @@
     also applies to the number of new connections per second.
 
     Attributes:
-        full_connections: Connection limit after the warm-up.
-        cold_connections: Connection limit right after a start.
-        warm_up_seconds: Duration of the warm-up.
-        can_collapse: Whether it collapses under overload.
-        open_flows: Time of the last packet of each open flow.
-        cold_since: Time when it last turned cold.
-        counted_from: Time from which an excess is counted; the sidecar cannot
+        full_connections: connection limit after the warm-up.
+        cold_connections: connection limit right after a start.
+        warm_up_seconds: duration of the warm-up.
+        can_collapse: whether it collapses under overload.
+        open_flows: time of the last packet of each open flow.
+        cold_since: time when it last turned cold.
+        counted_from: time from which an excess is counted; the sidecar cannot
             prevent an earlier one.
-        incarnation: Number of the current run.
-        report_unavailable: Whether its load endpoint never answers.
-        report_lag_seconds: Time after a restart during which the load
+        incarnation: number of the current run.
+        report_unavailable: whether its load endpoint never answers.
+        report_lag_seconds: time after a restart during which the load
             endpoint still reports the previous incarnation.
-        reports_zero: Whether the load endpoint always reports no load.
-        excess: Number of packets received while its connection limit was
+        reports_zero: whether the load endpoint always reports no load.
+        excess: number of packets received while its connection limit was
             exceeded.
-        burst_excess: Number of new connections above the limit per second.
-        collapse_count: Number of collapses.
-        down_until: Time until which it does not answer.
-        abandoned_flows: Flows that it dropped.
-        open_times: Times of new connections.
+        burst_excess: number of new connections above the limit per second.
+        collapse_count: number of collapses.
+        down_until: time until which it does not answer.
+        abandoned_flows: flows that it dropped.
+        open_times: times of new connections.
     """
 
     full_connections: int = 2000
--- a/siskinbank/lab/lookups.py
+++ b/siskinbank/lab/lookups.py
@@ -45,10 +45,10 @@
     """Results for the packets of moved flows.
 
     Attributes:
-        hops: Extra hops of each packet that reached the owner.
-        seconds: Delay of each packet that reached the owner.
-        lost_packets: Number of lost packets.
-        never_found: Number of flows whose owner was not reached.
+        hops: extra hops of each packet that reached the owner.
+        seconds: delay of each packet that reached the owner.
+        lost_packets: number of lost packets.
+        never_found: number of flows whose owner was not reached.
     """
 
     hops: list[int] = field(default_factory=list)
--- a/siskinbank/lab/naive_traffic.py
+++ b/siskinbank/lab/naive_traffic.py
@@ -18,9 +18,9 @@
     next packet.
 
     Attributes:
-        upstreams: Upstreams of all hosts.
-        hosts_out: Numbers of the hosts that are out of service.
-        broken_flows: Flows that were broken.
+        upstreams: upstreams of all hosts.
+        hosts_out: numbers of the hosts that are out of service.
+        broken_flows: flows that were broken.
     """
 
     def __init__(
--- a/siskinbank/lab/pool.py
+++ b/siskinbank/lab/pool.py
@@ -39,11 +39,11 @@
     """Counts the packets that an upstream receives, by flow.
 
     Attributes:
-        flows: Keys of the flows that were opened.
-        packets: Number of packets by flow key.
-        unknown_flows: Keys of flows that were not opened here, but of which
+        flows: keys of the flows that were opened.
+        packets: number of packets by flow key.
+        unknown_flows: keys of flows that were not opened here, but of which
             a later packet was received.
-        arrival_times: Times of all packets.
+        arrival_times: times of all packets.
     """
 
     flows: set[int] = field(default_factory=set)
@@ -129,9 +129,9 @@
         """Start a sidecar, which replaces one of the same name.
 
         Args:
-            name: Name of the sidecar's host in the published site.
-            address: Address of the sidecar.
-            upstream: Upstream of the sidecar; a new one by default.
+            name: name of the sidecar's host in the published site.
+            address: address of the sidecar.
+            upstream: upstream of the sidecar; a new one by default.
         """
         process = self._make_process('sidecar', name)
         view = FleetView(process.log, self.clock)
@@ -173,8 +173,8 @@
         """Apply a site at each process at a random time.
 
         Args:
-            site: Site to apply.
-            spread: Maximum delay in seconds; 0 applies it at once.
+            site: site to apply.
+            spread: maximum delay in seconds; 0 applies it at once.
         """
         for view in self._views():
             if spread:
--- a/siskinbank/lab/traffic.py
+++ b/siskinbank/lab/traffic.py
@@ -50,9 +50,9 @@
     """One flow of a caller.
 
     Attributes:
-        at: Time of the first packet in seconds.
-        duration_seconds: Duration of the flow.
-        number: Number of the flow, from which its addresses are derived.
+        at: time of the first packet in seconds.
+        duration_seconds: duration of the flow.
+        number: number of the flow, from which its addresses are derived.
     """
 
     at: float
@@ -91,9 +91,9 @@
     is followed by a new one, so that the number of open flows stays constant.
 
     Args:
-        rng: Source of random numbers.
-        flows: Approximate number of concurrently open flows.
-        seconds: Time after which no more flows are opened.
+        rng: source of random numbers.
+        flows: approximate number of concurrently open flows.
+        seconds: time after which no more flows are opened.
     """
     number = itertools.count()
     arrivals = []
@@ -118,11 +118,11 @@
     """Sends the packets of random flows into a pool.
 
     Attributes:
-        opened: Number of successful attempts to open a flow.
-        refused: Number of failed attempts to open a flow.
-        falsely_refused: Number of failed attempts while a warm host had free
+        opened: number of successful attempts to open a flow.
+        refused: number of failed attempts to open a flow.
+        falsely_refused: number of failed attempts while a warm host had free
             capacity.
-        broken_flows: Flows that were open but no live upstream has any more.
+        broken_flows: flows that were open but no live upstream has any more.
     """
 
     def __init__(
@@ -134,9 +134,9 @@
         """Initialize the schedule of packets.
 
         Args:
-            pool: Pool that gets the packets.
-            arrivals: Flows to open.
-            send_interval_seconds: Time between packets of an open flow. By
+            pool: pool that gets the packets.
+            arrivals: flows to open.
+            send_interval_seconds: time between packets of an open flow. By
                 default no packet is sent between its opening and its end.
         """
         self._pool = pool
@@ -265,11 +265,11 @@
     """Parameters of a site with one packet service, for experiments.
 
     Attributes:
-        hosts: Number of hosts.
-        connections: Connection limit of a warm host.
-        cold_connections: Connection limit of a host right after its start.
-        warm_up_seconds: Duration of the warm-up.
-        data_centres: Number of data centres, among which the hosts are
+        hosts: number of hosts.
+        connections: connection limit of a warm host.
+        cold_connections: connection limit of a host right after its start.
+        warm_up_seconds: duration of the warm-up.
+        data_centres: number of data centres, among which the hosts are
             distributed in turn.
     """
 
@@ -289,10 +289,10 @@
         """Return the site of a generation.
 
         Args:
-            generation: Number of the generation.
-            out: Numbers of the data centres that are out of service.
-            draining: Numbers of the hosts that are draining.
-            weights: Weights of hosts by number, where they differ from 1.
+            generation: number of the generation.
+            out: numbers of the data centres that are out of service.
+            draining: numbers of the hosts that are draining.
+            weights: weights of hosts by number, where they differ from 1.
         """
         host_weights = weights or {}
         document = {
--- a/siskinbank/peers/connect.py
+++ b/siskinbank/peers/connect.py
@@ -34,7 +34,7 @@
         """Open a stream to another process.
 
         Raises:
-            OSError: The process cannot be reached, or the keys do not match.
+            OSError: the process cannot be reached, or the keys do not match.
         """
         reader, writer = await asyncio.open_connection(
             *address,
@@ -50,7 +50,7 @@
         """Listen and pass each authenticated stream to ``accept``.
 
         Raises:
-            OSError: The address could not be bound.
+            OSError: the address could not be bound.
         """
 
         def handle_connection(
--- a/siskinbank/peers/datagrams.py
+++ b/siskinbank/peers/datagrams.py
@@ -40,7 +40,7 @@
     """Bind a UDP socket and pass each datagram to ``handle``.
 
     Raises:
-        OSError: The address could not be bound.
+        OSError: the address could not be bound.
     """
     sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     sock.setblocking(False)
@@ -75,8 +75,8 @@
         opens.
 
         Args:
-            keys: The keys that seal and open datagrams.
-            metrics: Counts dropped datagrams and the bytes of control
+            keys: the keys that seal and open datagrams.
+            metrics: counts dropped datagrams and the bytes of control
                 messages.
         """
         self.keys = keys
@@ -95,7 +95,7 @@
         """Pass messages of one class to ``handler``.
 
         Raises:
-            ValueError: The class already has a subscriber.
+            ValueError: the class already has a subscriber.
         """
         if self._subscribers.setdefault(message_class, handler) is not handler:
             raise ValueError(
--- a/siskinbank/peers/document_fetch.py
+++ b/siskinbank/peers/document_fetch.py
@@ -40,12 +40,12 @@
         """Initialize; ``on_complete`` is called with each complete document.
 
         Args:
-            store: Receives the fetched documents and holds those to serve.
-            timers: Schedules retries.
-            send: Sends a message to a peer.
-            rate: Limits the bytes sent to peers.
-            rng: Chooses the peer to ask.
-            metrics: Counts requests that the rate limit refused.
+            store: receives the fetched documents and holds those to serve.
+            timers: schedules retries.
+            send: sends a message to a peer.
+            rate: limits the bytes sent to peers.
+            rng: chooses the peer to ask.
+            metrics: counts requests that the rate limit refused.
         """
         self._store = store
         self._timers = timers
--- a/siskinbank/peers/freshness.py
+++ b/siskinbank/peers/freshness.py
@@ -27,7 +27,7 @@
     """The lease of one process.
 
     Attributes:
-        nonce: Number of the current request; peers echo it in their replies.
+        nonce: number of the current request; peers echo it in their replies.
     """
 
     def __init__(
--- a/siskinbank/peers/gossip.py
+++ b/siskinbank/peers/gossip.py
@@ -77,12 +77,12 @@
     """Disseminates configuration and membership for one process.
 
     Attributes:
-        seeds: Addresses of peers to ask while the roster has few records.
-        leaving: Names of the instances that are listed as leaving or
+        seeds: addresses of peers to ask while the roster has few records.
+        leaving: names of the instances that are listed as leaving or
             announced it.
-        gone: Names of the instances that are gone.
-        on_adopt: Called with each site that comes into force.
-        on_membership_change: Called when ``leaving`` or ``gone`` has changed.
+        gone: names of the instances that are gone.
+        on_adopt: called with each site that comes into force.
+        on_membership_change: called when ``leaving`` or ``gone`` has changed.
     """
 
     def __init__(
--- a/siskinbank/peers/pump.py
+++ b/siskinbank/peers/pump.py
@@ -27,9 +27,9 @@
     """Copy both ways until both sides have ended, then close both.
 
     Args:
-        reader: The bytes that the connection's peer sends.
-        writer: The other direction of the connection.
-        stream: The stream to the process at the other end.
+        reader: the bytes that the connection's peer sends.
+        writer: the other direction of the connection.
+        stream: the stream to the process at the other end.
     """
     try:
         async with asyncio.TaskGroup() as group:
@@ -61,8 +61,8 @@
     """Copy from the stream to the connection.
 
     Raises:
-        EOFError: The stream was interrupted.
-        ConnectionError: A chunk is too large.
+        EOFError: the stream was interrupted.
+        ConnectionError: a chunk is too large.
     """
     while size := _LENGTH.unpack(await stream_reader.readexactly(_LENGTH.size))[
         0
--- a/siskinbank/peers/readers.py
+++ b/siskinbank/peers/readers.py
@@ -72,12 +72,12 @@
     """Return the seconds between a process's reads, or None for no reads.
 
     Args:
-        rank: The process's rank in its data centre; None if no instance is
+        rank: the process's rank in its data centre; None if no instance is
             known and each process must read for itself.
-        read_age: Seconds since a reader of the data centre last reached the
+        read_age: seconds since a reader of the data centre last reached the
             platform, as far as is known.
-        fleet_size: The number of known processes.
-        rng: Draws the jitter.
+        fleet_size: the number of known processes.
+        rng: draws the jitter.
 
     Returns:
         ``READ_INTERVAL_SECONDS`` for a reader. For the others, once the
--- a/siskinbank/peers/ring.py
+++ b/siskinbank/peers/ring.py
@@ -55,10 +55,10 @@
         """Return the successors to ask, and the status of the silent ones.
 
         Args:
-            roster: All instances.
-            statuses: Their known status; silent instances are skipped.
-            now: The time in seconds.
-            reset: Whether to restart all silence timers. Set while this
+            roster: all instances.
+            statuses: their known status; silent instances are skipped.
+            now: the time in seconds.
+            reset: whether to restart all silence timers. Set while this
                 process has itself lost contact, since missing answers are no
                 evidence then.
         """
--- a/siskinbank/peers/rosters.py
+++ b/siskinbank/peers/rosters.py
@@ -47,10 +47,10 @@
         """Initialize.
 
         Args:
-            send: Sends a message to a peer.
-            rate: Limits the bytes sent.
-            rng: Chooses which differing buckets to send.
-            metrics: Counts what is malformed or exceeds the rate.
+            send: sends a message to a peer.
+            rate: limits the bytes sent.
+            rng: chooses which differing buckets to send.
+            metrics: counts what is malformed or exceeds the rate.
         """
         self._send = send
         self._rate = rate
--- a/siskinbank/platform/packets.py
+++ b/siskinbank/platform/packets.py
@@ -148,7 +148,7 @@
 
     Attributes:
         status: the HTTP status code, as text.
-        executed: False if the response states that the host did not run the
+        executed: false if the response states that the host did not run the
             request.
     """
 
--- a/siskinbank/relay/configuration_transfer.py
+++ b/siskinbank/relay/configuration_transfer.py
@@ -43,9 +43,9 @@
         """Initialize the transfer and register its message handlers.
 
         Args:
-            node: The process that runs the entry.
-            follower: Holds the configuration in force.
-            on_change: Called after a newer configuration was accepted.
+            node: the process that runs the entry.
+            follower: holds the configuration in force.
+            on_change: called after a newer configuration was accepted.
         """
         self._node = node
         self._follower = follower
--- a/siskinbank/relay/datagrams.py
+++ b/siskinbank/relay/datagrams.py
@@ -29,7 +29,7 @@
     """Open a UDP socket bound to an address.
 
     Raises:
-        OSError: The address cannot be bound.
+        OSError: the address cannot be bound.
     """
     udp_socket = socket(AF_INET, _NONBLOCKING_UDP)
     udp_socket.setsockopt(SOL_SOCKET, SO_RCVBUF, _RECEIVE_BUFFER_BYTES)
@@ -55,9 +55,9 @@
     """Read pending datagrams, up to the limit of one turn.
 
     Args:
-        udp_socket: Socket to read from.
-        max_bytes: Size in bytes beyond which a datagram is truncated.
-        on_datagram: Called with each datagram and its sender's address.
+        udp_socket: socket to read from.
+        max_bytes: size in bytes beyond which a datagram is truncated.
+        on_datagram: called with each datagram and its sender's address.
     """
     receive = udp_socket.recvfrom
     for _ in range(_MAX_READS_PER_TURN):
--- a/siskinbank/relay/entry.py
+++ b/siskinbank/relay/entry.py
@@ -68,10 +68,10 @@
         """Initialize the entry, open its port and join the other entries.
 
         Args:
-            node: The process that runs the entry.
+            node: the process that runs the entry.
 
         Raises:
-            OSError: If the port for clients' packets can't be opened.
+            OSError: if the port for clients' packets can't be opened.
         """
         self._node = node
         settings = node.settings
--- a/siskinbank/relay/flow_admission.py
+++ b/siskinbank/relay/flow_admission.py
@@ -46,7 +46,7 @@
     """Accepts, queues, forwards or refuses new flows for a host.
 
     Attributes:
-        queue: The pending queue: first packets that wait for a free slot.
+        queue: the pending queue: first packets that wait for a free slot.
     """
 
     __slots__ = (
@@ -72,12 +72,12 @@
         """Initialize flow admission and register the message handler.
 
         Args:
-            node: The process that runs the sidecar.
-            host: The known state of the host.
-            reporter: Sends status updates to the entries.
-            flows: The flows that the host holds, by flow key.
-            unanswered: Packets that the host has not answered, by flow key.
-            deliver: Called to send a packet to the host.
+            node: the process that runs the sidecar.
+            host: the known state of the host.
+            reporter: sends status updates to the entries.
+            flows: the flows that the host holds, by flow key.
+            unanswered: packets that the host has not answered, by flow key.
+            deliver: called to send a packet to the host.
         """
         self.queue = PendingQueue()
         self._check_scheduled = False
@@ -296,7 +296,7 @@
     """Return a packet unchanged if it has a complete header.
 
     Raises:
-        DatagramError: If the packet is too short.
+        DatagramError: if the packet is too short.
     """
     if len(packet) < HEADER_BYTES:
         raise messages.DatagramError('packet is shorter than its header')
--- a/siskinbank/relay/flow_searcher.py
+++ b/siskinbank/relay/flow_searcher.py
@@ -82,11 +82,11 @@
         """Initialize the searcher and register its message handlers.
 
         Args:
-            node: The process that runs the entry.
-            hosts: The known state of the hosts, from their sidecars.
-            follower: The state read from the store.
-            gossip: Requests a read of the store when a search needs it.
-            reset: Called to reset the flow of a packet, with the packet and
+            node: the process that runs the entry.
+            hosts: the known state of the hosts, from their sidecars.
+            follower: the state read from the store.
+            gossip: requests a read of the store when a search needs it.
+            reset: called to reset the flow of a packet, with the packet and
                 the reason.
         """
         self._node = node
--- a/siskinbank/relay/follower.py
+++ b/siskinbank/relay/follower.py
@@ -50,8 +50,8 @@
 
     Attributes:
         client: HTTP client of the connection.
-        failures: Number of consecutive failed requests.
-        next_attempt: Time before which no request is sent, in seconds.
+        failures: number of consecutive failed requests.
+        next_attempt: time before which no request is sent, in seconds.
     """
 
     __slots__ = ('client', 'failures', 'next_attempt')
@@ -68,18 +68,18 @@
     Times are those of the loop's clock, in seconds.
 
     Attributes:
-        configuration: Configuration in force, from the store or from peers.
-        evacuated: Names of the data centres evacuated by the operator.
-        operator_revision: Revision of the last known operator change.
-        operator_read_at: Time of the store's last response about operator keys.
-        hosts: Host records by IP address.
-        hosts_revision: Revision of the last listing of the hosts.
-        hosts_read_at: Time when that listing was read.
-        hosts_read_by_peer_at: Time when the store confirmed the newest listing
+        configuration: configuration in force, from the store or from peers.
+        evacuated: names of the data centres evacuated by the operator.
+        operator_revision: revision of the last known operator change.
+        operator_read_at: time of the store's last response about operator keys.
+        hosts: host records by IP address.
+        hosts_revision: revision of the last listing of the hosts.
+        hosts_read_at: time when that listing was read.
+        hosts_read_by_peer_at: time when the store confirmed the newest listing
             that a peer announced.
-        rank: Position of this process in the order of readers, from 0.
-        hosts_due: Returns whether the hosts must be listed now.
-        operator_due: Returns whether the operator keys must be read now.
+        rank: position of this process in the order of readers, from 0.
+        hosts_due: returns whether the hosts must be listed now.
+        operator_due: returns whether the operator keys must be read now.
     """
 
     def __init__(
@@ -91,9 +91,9 @@
         """Create connections for host listings and for the operator watch.
 
         Args:
-            node: Process that owns the follower.
-            on_hosts: Called after the hosts were listed.
-            on_operator: Called after operator keys were read.
+            node: process that owns the follower.
+            on_hosts: called after the hosts were listed.
+            on_operator: called after operator keys were read.
         """
         self.configuration = Configuration()
         self.evacuated: frozenset[str] = frozenset()
--- a/siskinbank/relay/gossip.py
+++ b/siskinbank/relay/gossip.py
@@ -50,8 +50,8 @@
     """Exchanges announcements and host records with entries and sidecars.
 
     Attributes:
-        sidecars: Packed addresses of all known sidecars.
-        stopping: Whether this entry is about to stop.
+        sidecars: packed addresses of all known sidecars.
+        stopping: whether this entry is about to stop.
     """
 
     def __init__(
--- a/siskinbank/relay/hello_schedule.py
+++ b/siskinbank/relay/hello_schedule.py
@@ -25,8 +25,8 @@
         """Initialize the schedule of a process that sends a hello now.
 
         Args:
-            now: Time of the start, in seconds.
-            period_s: Seconds between hellos after the startup phase.
+            now: time of the start, in seconds.
+            period_s: seconds between hellos after the startup phase.
         """
         self._started = now
         self._last_hello = now
--- a/siskinbank/relay/http.py
+++ b/siskinbank/relay/http.py
@@ -82,9 +82,9 @@
         """Send a GET request.
 
         Args:
-            path: Path and query.
-            timeout: Seconds until the connection is abandoned.
-            on_response: Called once with status and body.
+            path: path and query.
+            timeout: seconds until the connection is abandoned.
+            on_response: called once with status and body.
         """
         self._on_response = on_response
         self._received = b''
@@ -191,12 +191,12 @@
         """Open the listening socket.
 
         Args:
-            loop: Event loop.
-            address: Address to listen at.
-            paths: Functions that return status and text, by path.
+            loop: event loop.
+            address: address to listen at.
+            paths: functions that return status and text, by path.
 
         Raises:
-            OSError: The address cannot be bound.
+            OSError: the address cannot be bound.
         """
         self._loop = loop
         self._paths = paths
--- a/siskinbank/relay/log.py
+++ b/siskinbank/relay/log.py
@@ -56,8 +56,8 @@
         """Log one event with the values that led to it.
 
         Args:
-            event: Event name from the catalogue.
-            fields: Values by field name, without spaces.
+            event: event name from the catalogue.
+            fields: values by field name, without spaces.
         """
         if not self._take_token():
             self._dropped += 1
--- a/siskinbank/relay/loop.py
+++ b/siskinbank/relay/loop.py
@@ -29,9 +29,9 @@
     """A scheduled call.
 
     Attributes:
-        due: Time of the next call, in seconds.
-        period: Interval between calls in seconds, 0 for a single call.
-        callback: Function to call.
+        due: time of the next call, in seconds.
+        period: interval between calls in seconds, 0 for a single call.
+        callback: function to call.
     """
 
     __slots__ = ('callback', 'due', 'period')
@@ -55,8 +55,8 @@
     when the process resumes.
 
     Attributes:
-        now: Time of the current turn, in seconds.
-        on_fault: Called with exceptions of callbacks; if it is None, they end
+        now: time of the current turn, in seconds.
+        on_fault: called with exceptions of callbacks; if it is None, they end
             the process.
     """
 
--- a/siskinbank/relay/messages.py
+++ b/siskinbank/relay/messages.py
@@ -157,9 +157,9 @@
     """Return a RELAYED datagram with a packet whose host is unknown.
 
     Args:
-        entry: Address of the entry that searches for the host.
-        others: Addresses of hosts to forward to, MAX_RELAYED at most.
-        packet: The client's packet.
+        entry: address of the entry that searches for the host.
+        others: addresses of hosts to forward to, MAX_RELAYED at most.
+        packet: the client's packet.
     """
     head = _RELAYED.pack(RELAYED, entry, len(others))
     return head + b''.join(others) + packet
@@ -169,7 +169,7 @@
     """Return the entry, the hosts to forward a packet to, and the packet.
 
     Raises:
-        DatagramError: The datagram is truncated.
+        DatagramError: the datagram is truncated.
     """
     _, entry, count = _unpack(_RELAYED, raw)
     start = _RELAYED.size
@@ -181,18 +181,18 @@
     """A first packet with the candidate hosts for its flow.
 
     Attributes:
-        hops: Number of sidecars that have forwarded it.
-        service: Digest of the service.
-        version: Version of the configuration that the entry used.
-        entry: Address of the entry to which the outcome is reported.
-        target_latency_ms: Target latency of the client's request, in
+        hops: number of sidecars that have forwarded it.
+        service: digest of the service.
+        version: version of the configuration that the entry used.
+        entry: address of the entry to which the outcome is reported.
+        target_latency_ms: target latency of the client's request, in
             milliseconds.
-        wait_limit_ms: Longest allowed wait at a host, in milliseconds.
-        best: Address of the host with the shortest expected wait so far.
-        best_wait_ms: That wait in milliseconds, MAX_WAIT_MS if there is none.
-        candidates: Addresses of further candidate hosts, in order of
+        wait_limit_ms: longest allowed wait at a host, in milliseconds.
+        best: address of the host with the shortest expected wait so far.
+        best_wait_ms: that wait in milliseconds, MAX_WAIT_MS if there is none.
+        candidates: addresses of further candidate hosts, in order of
             preference.
-        packet: The client's packet.
+        packet: the client's packet.
     """
 
     __slots__ = (
@@ -226,7 +226,7 @@
         """Decode a datagram.
 
         Raises:
-            DatagramError: The datagram is truncated.
+            DatagramError: the datagram is truncated.
         """
         fields = _unpack(_OPENING_HEADER, raw)
         start = _OPENING_HEADER.size
@@ -278,9 +278,9 @@
 
     Args:
         kind: HELD, ABSENT, REFUSED or QUEUED.
-        key: Flow key.
-        number: The host's initial sequence number, 0 if unknown.
-        reason: Reason of a refusal, see ``admission.reasons``; with HELD
+        key: flow key.
+        number: the host's initial sequence number, 0 if unknown.
+        reason: reason of a refusal, see ``admission.reasons``; with HELD
             whether the flow is established at the host.
     """
     return _FLOW_NOTE.pack(kind, key, number, reason)
@@ -290,7 +290,7 @@
     """Return flow key, initial sequence number and reason of a note.
 
     Raises:
-        DatagramError: The datagram is truncated.
+        DatagramError: the datagram is truncated.
     """
     _, key, number, reason = _unpack(_FLOW_NOTE, raw)
     return key, number, reason
@@ -301,7 +301,7 @@
 
     Args:
         kind: FLOW_QUERY, NOT_HELD or HELD_UNKNOWN.
-        keys: Flow keys, MAX_KEYS at most.
+        keys: flow keys, MAX_KEYS at most.
     """
     return bytes((kind,)) + b''.join(keys)
 
@@ -316,17 +316,17 @@
     """Host status sent by a sidecar.
 
     Attributes:
-        service: Digest of the service.
-        data_centre: Digest of the data centre.
+        service: digest of the service.
+        data_centre: digest of the data centre.
         state: 0 if the host accepts new flows, otherwise the reason why not,
             see ``admission.reasons``.
-        slots: Number of requests that the host processes concurrently.
-        busy: Number of requests in progress, expected and queued.
-        flows: Number of open flows.
-        version: Newest configuration version that the sidecar has received.
-        record_age_ms: Age of the host's record from the store, in
+        slots: number of requests that the host processes concurrently.
+        busy: number of requests in progress, expected and queued.
+        flows: number of open flows.
+        version: newest configuration version that the sidecar has received.
+        record_age_ms: age of the host's record from the store, in
             milliseconds.
-        trusted: Whether there is no reason to prefer other hosts, see
+        trusted: whether there is no reason to prefer other hosts, see
             ``OwnHost.is_trusted``.
     """
 
@@ -359,7 +359,7 @@
         """Decode a datagram.
 
         Raises:
-            DatagramError: The datagram is truncated.
+            DatagramError: the datagram is truncated.
         """
         fields = _unpack(_STATUS, raw)
         status = cls(fields[1], fields[2])
@@ -394,10 +394,10 @@
     """Announcement of an entry: its versions and the age of its state.
 
     Attributes:
-        stopping: Whether the entry is about to stop.
-        version: Version of the configuration in force.
-        operator_age_s: Seconds since the store confirmed the operator keys.
-        hosts_age_s: Seconds since the store confirmed the host records.
+        stopping: whether the entry is about to stop.
+        version: version of the configuration in force.
+        operator_age_s: seconds since the store confirmed the operator keys.
+        hosts_age_s: seconds since the store confirmed the host records.
     """
 
     __slots__ = (
@@ -419,7 +419,7 @@
         """Decode a datagram.
 
         Raises:
-            DatagramError: The datagram is truncated.
+            DatagramError: the datagram is truncated.
         """
         fields = _unpack(_ANNOUNCEMENT, raw)
         announcement = cls()
@@ -444,16 +444,16 @@
     """State of a host and its data centre according to the store.
 
     Attributes:
-        flags: Bit mask of REGISTERED, DRAINING, EVACUATED and OPERATOR_READ.
-        service: Digest of the service in the host's record.
-        age_s: Seconds since the store confirmed the record.
-        slots: Number of requests that the host processes concurrently.
-        revision: Store revision of the read.
-        born_ms: Start of the host's incarnation, 0 if unknown.
-        cold_s: Remaining warm-up time of the host, in seconds.
-        cold_per_s: Requests a second that a cold host of the service accepts.
-        operator_revision: Store revision of the operator keys.
-        version: Version of the configuration in force.
+        flags: bit mask of REGISTERED, DRAINING, EVACUATED and OPERATOR_READ.
+        service: digest of the service in the host's record.
+        age_s: seconds since the store confirmed the record.
+        slots: number of requests that the host processes concurrently.
+        revision: store revision of the read.
+        born_ms: start of the host's incarnation, 0 if unknown.
+        cold_s: remaining warm-up time of the host, in seconds.
+        cold_per_s: requests a second that a cold host of the service accepts.
+        operator_revision: store revision of the operator keys.
+        version: version of the configuration in force.
     """
 
     __slots__ = (
@@ -487,7 +487,7 @@
         """Decode a datagram.
 
         Raises:
-            DatagramError: The datagram is truncated.
+            DatagramError: the datagram is truncated.
         """
         fields = _unpack(_RECORD, raw)
         record = cls()
@@ -554,7 +554,7 @@
     """Return version, index, number of pieces and the piece itself.
 
     Raises:
-        DatagramError: The datagram is truncated.
+        DatagramError: the datagram is truncated.
     """
     _, version, index, count = _unpack(_PIECE, raw)
     return version, index, count, raw[_PIECE.size :]
--- a/siskinbank/relay/node.py
+++ b/siskinbank/relay/node.py
@@ -54,26 +54,26 @@
     """Process environment shared by entry and sidecar.
 
     Attributes:
-        loop: Event loop.
-        log: Event log.
-        meters: Counters and histograms.
-        settings: Settings in force.
+        loop: event loop.
+        log: event log.
+        meters: counters and histograms.
+        settings: settings in force.
         packed_ip: IP address of this process as 4 bytes.
-        handlers: Handlers of peer messages, by message kind.
-        is_ready: Returns whether the readiness probe succeeds.
-        on_stop: Called on SIGTERM; stops the process by default.
+        handlers: handlers of peer messages, by message kind.
+        is_ready: returns whether the readiness probe succeeds.
+        on_stop: called on SIGTERM; stops the process by default.
     """
 
     def __init__(self, path: str) -> None:
         """Read the settings, open the sockets and install signal handlers.
 
         Args:
-            path: Path of the settings file.
+            path: path of the settings file.
 
         Raises:
-            OSError: The settings cannot be read, or an address cannot be
+            OSError: the settings cannot be read, or an address cannot be
                 bound.
-            DocumentError: The settings are invalid.
+            DocumentError: the settings are invalid.
         """
         self.loop = Loop()
         self.log = Log(self.loop)
@@ -158,10 +158,10 @@
         """Reset the flow of a client's packet.
 
         Args:
-            sender: Any socket of this process.
-            packet: Packet of the flow.
-            reason: Reason for the log.
-            inputs: Other values behind the decision, for the log.
+            sender: any socket of this process.
+            packet: packet of the flow.
+            reason: reason for the log.
+            inputs: other values behind the decision, for the log.
         """
         key = packet[FLOW_KEY]
         self.meters.count('resets_total')
--- a/siskinbank/relay/request_tracker.py
+++ b/siskinbank/relay/request_tracker.py
@@ -24,7 +24,7 @@
     """Counts requests in progress and logs the outcome of each.
 
     Attributes:
-        on_end: Called after a request has ended, as a slot may be free.
+        on_end: called after a request has ended, as a slot may be free.
     """
 
     __slots__ = ('_host', '_node', 'on_end')
@@ -33,8 +33,8 @@
         """Initialize the tracker.
 
         Args:
-            node: The process that runs the sidecar.
-            host: The known state of the host.
+            node: the process that runs the sidecar.
+            host: the known state of the host.
         """
         self.on_end: Callable[[], object] = bool
         self._node = node
--- a/siskinbank/relay/sidecar.py
+++ b/siskinbank/relay/sidecar.py
@@ -67,10 +67,10 @@
         """Initialize the sidecar and open the sockets from and to its host.
 
         Args:
-            node: The process that runs the sidecar.
+            node: the process that runs the sidecar.
 
         Raises:
-            OSError: If a socket can't be opened, or the settings lack the
+            OSError: if a socket can't be opened, or the settings lack the
                 host address or the outbound address.
         """
         self._node = node
--- a/siskinbank/relay/status_reporter.py
+++ b/siskinbank/relay/status_reporter.py
@@ -62,10 +62,10 @@
         """Initialize the reporter, send hellos and start the timers.
 
         Args:
-            node: The process that runs the sidecar.
-            host: The known state of the host.
-            count_flows: Returns the number of flows that the host holds.
-            count_queued: Returns the number of queued flows that precede a new
+            node: the process that runs the sidecar.
+            host: the known state of the host.
+            count_flows: returns the number of flows that the host holds.
+            count_queued: returns the number of queued flows that precede a new
                 one.
         """
         self._node = node
--- a/siskinbank/tracking/configuration.py
+++ b/siskinbank/tracking/configuration.py
@@ -19,9 +19,9 @@
     """The configuration in force, replaced only by complete newer versions.
 
     Attributes:
-        version: Version number, 0 without a configuration.
-        routes: Routes by address and port, as in a flow key.
-        warm_ups: Limits of the services after a cold start, by service name.
+        version: version number, 0 without a configuration.
+        routes: routes by address and port, as in a flow key.
+        warm_ups: limits of the services after a cold start, by service name.
     """
 
     __slots__ = ('_packed', '_raw', 'routes', 'version', 'warm_ups')
@@ -45,10 +45,10 @@
         """Apply a configuration if it is newer; return whether it was applied.
 
         Args:
-            raw: The operator's document.
+            raw: the operator's document.
 
         Raises:
-            DocumentError: The document is invalid; the configuration in force
+            DocumentError: the document is invalid; the configuration in force
                 is kept.
         """
         version, routes, warm_ups = decode_configuration(raw)
@@ -65,7 +65,7 @@
         """Apply a compressed configuration from a peer if it is newer.
 
         Raises:
-            DocumentError: The document is damaged; the configuration in force
+            DocumentError: the document is damaged; the configuration in force
                 is kept.
         """
         try:
--- a/siskinbank/tracking/hosts.py
+++ b/siskinbank/tracking/hosts.py
@@ -31,12 +31,12 @@
     Attributes:
         ip: IP address as text.
         packed: IP address as 4 bytes.
-        status: Last status from its sidecar.
-        last_seen: Time when that status was received, in seconds.
-        first_seen: Time when the first status was received, in seconds.
-        pending: Number of flows placed there since the last status.
-        left: Whether it is silent and known to be gone.
-        usual_interval_s: Usual interval between its sidecar's updates, in
+        status: last status from its sidecar.
+        last_seen: time when that status was received, in seconds.
+        first_seen: time when the first status was received, in seconds.
+        pending: number of flows placed there since the last status.
+        left: whether it is silent and known to be gone.
+        usual_interval_s: usual interval between its sidecar's updates, in
             seconds: the longest recent one, which decays with each update.
     """
 
--- a/siskinbank/tracking/own_host.py
+++ b/siskinbank/tracking/own_host.py
@@ -32,18 +32,18 @@
     """State of the host beside a sidecar.
 
     Attributes:
-        service: Digest of the service in the sidecar's settings.
-        record: Last record from the store, None before the first one.
-        confirmed_at: Time when the store confirmed the record, in seconds.
-        version: Newest configuration version that was announced.
-        stopping: Whether the sidecar is about to stop.
-        busy: Number of requests in progress.
-        processing_time: Mean processing time of a request at the host.
-        expected_requests: Accepted flows whose first request has not arrived
+        service: digest of the service in the sidecar's settings.
+        record: last record from the store, None before the first one.
+        confirmed_at: time when the store confirmed the record, in seconds.
+        version: newest configuration version that was announced.
+        stopping: whether the sidecar is about to stop.
+        busy: number of requests in progress.
+        processing_time: mean processing time of a request at the host.
+        expected_requests: accepted flows whose first request has not arrived
             yet.
-        queue_capacity: Learned capacity of the host's queue.
-        refusal_backoff: Pauses new flows while the host refuses all of them.
-        has_accepted_flow: Whether the host has accepted a flow since this
+        queue_capacity: learned capacity of the host's queue.
+        refusal_backoff: pauses new flows while the host refuses all of them.
+        has_accepted_flow: whether the host has accepted a flow since this
             process started or last found it unreachable.
     """
 
@@ -72,9 +72,9 @@
         """Initialize the state without a record.
 
         Args:
-            service: Digest of the service in the sidecar's settings.
-            now: Time in seconds on the clock that counts suspension.
-            started_ms: Wall-clock time of the sidecar's start in milliseconds,
+            service: digest of the service in the sidecar's settings.
+            now: time in seconds on the clock that counts suspension.
+            started_ms: wall-clock time of the sidecar's start in milliseconds,
                 comparable to the start time that hosts report.
         """
         self.service = service
@@ -206,8 +206,8 @@
         """Return how long a new request would wait for a slot, in seconds.
 
         Args:
-            now: Time in seconds on the clock that counts suspension.
-            ahead: Number of queued flows that get a slot before it.
+            now: time in seconds on the clock that counts suspension.
+            ahead: number of queued flows that get a slot before it.
         """
         return self.processing_time.wait_s(
             self.request_count(now) + ahead, self.slots
@@ -219,8 +219,8 @@
         A wait for a free slot is not a reason; see ``wait_s``.
 
         Args:
-            service: Digest of the service that the flow belongs to.
-            now: Time in seconds on the clock that counts suspension.
+            service: digest of the service that the flow belongs to.
+            now: time in seconds on the clock that counts suspension.
         """
         persistent = self._persistent_reason(service, now)
         if persistent:
--- a/siskinbank/tracking/store_reads.py
+++ b/siskinbank/tracking/store_reads.py
@@ -71,8 +71,8 @@
         """Record that the hosts were listed.
 
         Args:
-            now: Time in seconds.
-            confirmed_at: Time when the store confirmed the previous listing, to
+            now: time in seconds.
+            confirmed_at: time when the store confirmed the previous listing, to
                 this process or to another one that announced it.
         """
         if self._returned_at is None or now - confirmed_at > _OUTAGE_S:
@@ -118,11 +118,11 @@
     read the store.
 
     Args:
-        now: Time in seconds.
-        started: Time when the sidecar started.
-        confirmed_at: Time when the store confirmed the last record from an
+        now: time in seconds.
+        started: time when the sidecar started.
+        confirmed_at: time when the store confirmed the last record from an
             entry.
-        own_read_at: Time when the sidecar last read the store itself.
+        own_read_at: time when the sidecar last read the store itself.
     """
     newest = max(confirmed_at, own_read_at, started - _START_ALLOWANCE_S)
     return now - newest > _SIDECAR_READ_AGE_S
--- a/tests/peers/test_connect.py
+++ b/tests/peers/test_connect.py
@@ -74,13 +74,13 @@
     """Send through a tunnel to a server that answers at end of file.
 
     Args:
-        cut: Whether the far side interrupts the stream instead.
+        cut: whether the far side interrupts the stream instead.
 
     Returns:
         The bytes that the caller receives.
 
     Raises:
-        OSError: The caller's connection was reset.
+        OSError: the caller's connection was reset.
     """
     ring = KeyRing([OLD])
     streams = PeerStreams(ProcessContext('entry', 'test'), ring)
--- a/tests/relay/test_flow_searcher.py
+++ b/tests/relay/test_flow_searcher.py
@@ -39,8 +39,8 @@
     """The environment of a flow searcher without sockets.
 
     Attributes:
-        sent: Datagrams sent, each with its destination address.
-        resets: Reasons for which flows were reset.
+        sent: datagrams sent, each with its destination address.
+        resets: reasons for which flows were reset.
     """
 
     def __init__(self) -> None:
--- a/tests/relay/test_gossip.py
+++ b/tests/relay/test_gossip.py
@@ -17,7 +17,7 @@
     """Gossip of one entry with stand-ins for its collaborators.
 
     Attributes:
-        sent: Message kinds and receivers of the datagrams sent.
+        sent: message kinds and receivers of the datagrams sent.
     """
 
     def __init__(self) -> None:
--- a/tests/relay/test_request_tracker.py
+++ b/tests/relay/test_request_tracker.py
@@ -34,11 +34,11 @@
     """The environment of a request tracker without sockets.
 
     Attributes:
-        outcomes: Outcomes of the requests that have ended.
-        host: The known state of the host.
-        tracker: The tracker under test.
-        flow: A flow that the host holds.
-        key: The key of the flow.
+        outcomes: outcomes of the requests that have ended.
+        host: the known state of the host.
+        tracker: the tracker under test.
+        flow: a flow that the host holds.
+        key: the key of the flow.
     """
 
     def __init__(self) -> None:
