--- a/siskinbank/commands/_options.py
+++ b/siskinbank/commands/_options.py
@@ -118,7 +118,7 @@
         ),
         _option(
             '--bind',
-            help_text='UDP and TCP address for other Siskinbank processes.',
+            help_text='UDP and TCP address for other siskinbank processes.',
             type=ADDRESS,
             required=True,
         ),
--- a/siskinbank/commands/check.py
+++ b/siskinbank/commands/check.py
@@ -38,5 +38,5 @@
     unserved = sorted(model.services.keys() - served_services.keys())
     if unserved:
         names = ', '.join(unserved)
-        click.echo(f'not served, because they have no hosts: {names}')
+        click.echo(f'without hosts, so not served here: {names}')
     return 0
