--- a/siskinbank/directory/failure_detection.py
+++ b/siskinbank/directory/failure_detection.py
@@ -9,9 +9,9 @@
 
 __all__ = ('find_gone',)
 
-#: Seconds after which a silent host that the live list omits is gone.
+#: Seconds after which a silent instance that the live list omits is gone.
 OMITTED_GONE_SECONDS = 5
-#: Seconds after which a silent host is gone, whatever the live list says.
+#: Seconds after which a silent instance is gone, whatever the live list says.
 SILENT_GONE_SECONDS = 15
 
 
--- a/siskinbank/directory/follower.py
+++ b/siskinbank/directory/follower.py
@@ -23,8 +23,8 @@
 
 __all__ = ('PlatformFollower',)
 
-_RANK_CHECK_SECONDS = 0.5
-_JOIN_POLL_SECONDS = 0.1
+_RANK_CHECK_INTERVAL_SECONDS = 0.5
+_JOIN_POLL_INTERVAL_SECONDS = 0.1
 _MIN_START_DELAY_SECONDS = 0.2
 _MAX_START_DELAY_SECONDS = 1.5
 #: Limit on one reader's transfers of the live list.
@@ -76,7 +76,7 @@
                 break
             await asyncio.sleep(backoff.next())
         while not self._gossip.joined:
-            await asyncio.sleep(_JOIN_POLL_SECONDS)
+            await asyncio.sleep(_JOIN_POLL_INTERVAL_SECONDS)
 
     def _has_configuration(self) -> bool:
         return self._gossip.store.in_force[0] > 0
@@ -112,7 +112,7 @@
             interval = self._interval()
             if interval is not None and (self._reading or self._bootstrapping):
                 return interval
-            await asyncio.sleep(interval or _RANK_CHECK_SECONDS)
+            await asyncio.sleep(interval or _RANK_CHECK_INTERVAL_SECONDS)
             if interval is not None and self._interval() is not None:
                 return interval
 
--- a/siskinbank/directory/view.py
+++ b/siskinbank/directory/view.py
@@ -66,8 +66,8 @@
     def fresh(self) -> bool:
         """Whether the process may act on this view.
 
-        False after a pause, until a peer has answered or the process is known
-        to be isolated.
+        False after a suspension, until a peer has answered or the process is
+        known to be isolated.
         """
         return self._is_fresh()
 
--- a/siskinbank/peers/freshness.py
+++ b/siskinbank/peers/freshness.py
@@ -1,6 +1,6 @@
 """Whether a process may act on its known state: a lease that peers renew.
 
-The lease runs on a clock that counts suspension. A process that was paused
+The lease runs on a clock that counts suspension. A process that was suspended
 for longer than the lease is stale: it asks several peers and acts again as
 soon as a peer that is itself fresh has answered. If no peer answers for some
 time during which the process was running, it is isolated and continues with
@@ -19,7 +19,7 @@
 _ISOLATION_SECONDS = 3
 _NONCE_LIMIT = 1 << 32
 #: Longest running time counted for one tick; during the rest of a longer
-#: interval the process was paused.
+#: interval the process was suspended.
 _MAX_TICK_SECONDS = 1.5
 
 
@@ -79,7 +79,7 @@
         """Renew the lease with a fresh peer's reply to a recent request.
 
         The lease starts when the request was sent: replies that were queued
-        in a socket buffer while the process was paused may be outdated.
+        in a socket buffer while the process was suspended may be outdated.
         """
         sent_at = self._sent_at.get(echo)
         if sent_at is None:
@@ -97,11 +97,11 @@
         self._draw_nonce()
         now = self._clock()
         running_seconds = min(now - self._last_tick, _MAX_TICK_SECONDS)
-        paused = now - self._last_tick > LEASE_SECONDS
+        suspended = now - self._last_tick > LEASE_SECONDS
         self._last_tick = now
         if self.lease_valid:
             return
-        if paused:
+        if suspended:
             self._isolated_at = None
             self._unanswered_seconds = 0
             return
--- a/siskinbank/peers/gossip.py
+++ b/siskinbank/peers/gossip.py
@@ -54,7 +54,7 @@
 _ASKED_PEERS = 5
 _SILENT_REMOVAL_SECONDS = 600
 _ALIVE_STATUS_RETENTION_SECONDS = 120
-_PRUNE_SECONDS = 30
+_PRUNE_INTERVAL_SECONDS = 30
 #: Limits on the bytes that a process sends to answer its peers.
 _UPLOAD_BYTES_PER_SECOND = 20_000
 _UPLOAD_BURST_BYTES = 400_000
@@ -64,7 +64,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Identity:
-    """Identifies a process; ``epoch`` is its epoch at the start."""
+    """Identifies a process; ``epoch`` numbers its incarnation at the start."""
 
     name: str
     role: str
@@ -169,7 +169,7 @@
         """Start the timers and send the first announcements."""
         self._started_at = self.now
         self._timers.every(TICK_SECONDS, self.tick, jitter=0.2)
-        self._timers.every(_PRUNE_SECONDS, self._prune, jitter=0.2)
+        self._timers.every(_PRUNE_INTERVAL_SECONDS, self._prune, jitter=0.2)
         self.ask_peers()
 
     def subscribe_to(
--- a/siskinbank/peers/pump.py
+++ b/siskinbank/peers/pump.py
@@ -24,7 +24,7 @@
     writer: asyncio.StreamWriter,
     stream: MessageStream,
 ) -> None:
-    """Copy both ways until both sides have ended, then close both.
+    """Copy in both directions until both sides have ended, then close both.
 
     Args:
         reader: the bytes that the connection's peer sends.
--- a/siskinbank/peers/ring.py
+++ b/siskinbank/peers/ring.py
@@ -107,7 +107,11 @@
 
 
 def _ring_index(ring: tuple[Record, ...], name: str) -> int:
-    """Return the index of a name on a ring that is sorted by hash."""
+    """Return the index of a name on a ring that is sorted by hash.
+
+    If the ring does not contain the name, it is the index of its predecessor,
+    or -1.
+    """
     low, high = 0, len(ring)
     key = ring_key(name)
     while low < high:
--- a/siskinbank/peers/rosters.py
+++ b/siskinbank/peers/rosters.py
@@ -44,13 +44,13 @@
         rng: random.Random,
         metrics: Metrics,
     ) -> None:
-        """Initialize.
+        """Initialize the synchronization of one process.
 
         Args:
             send: sends a message to a peer.
             rate: limits the bytes sent.
             rng: chooses which differing buckets to send.
-            metrics: counts what is malformed or exceeds the rate.
+            metrics: counts malformed messages and buckets that exceed the rate.
         """
         self._send = send
         self._rate = rate
--- a/siskinbank/platform/encoding.py
+++ b/siskinbank/platform/encoding.py
@@ -72,7 +72,7 @@
 
     def pack(self) -> bytes:
         """Return the datagram with the checksum field unchanged."""
-        head = _HEADER.pack(
+        header = _HEADER.pack(
             self.checksum,
             self.number,
             self.acknowledged,
@@ -84,10 +84,10 @@
             self.echo,
             len(self.content),
         )
-        return head + self.content
+        return header + self.content
 
     def _compute_checksum(self) -> int:
-        # The checksum covers neither itself, the echo nor the bounced flag.
+        # The checksum covers neither itself nor the echo nor the bounced flag.
         covered = replace(self, checksum=0, echo=0, flags=self.flags & ~BOUNCED)
         return crc32(covered.pack())
 
@@ -159,7 +159,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ProcessSettings:
-    """The settings file of one process."""
+    """The settings file of one process.
+
+    ``ports`` are those for packets, readiness checks, peers and outbound
+    packets.
+    """
 
     name: str
     ip: str
--- a/siskinbank/platform/records.py
+++ b/siskinbank/platform/records.py
@@ -38,7 +38,7 @@
         service: the service that the host belongs to.
         ip: the host's IP address; its sidecar has the same one.
         data_centre: data centre of the host.
-        slots: requests that the host processes concurrently.
+        slots: number of requests that the host processes concurrently.
         draining: whether the host is leaving and accepts no new requests.
         cold_s: remaining warm-up time when the record was read, in seconds.
         born_ms: start time of the host in milliseconds, which distinguishes
--- a/siskinbank/sidecar/announcer.py
+++ b/siskinbank/sidecar/announcer.py
@@ -18,7 +18,7 @@
 __all__ = ('Announcer', 'unpack_flow_numbers')
 
 LEASE_SECONDS = 90
-_RENEW_SECONDS = 30
+_RENEW_INTERVAL_SECONDS = 30
 #: Number of steps over which the renewals of one period are spread.
 _RENEW_STEPS = 30
 #: Delays of the repeated announcements after a change, because datagrams get
@@ -56,7 +56,9 @@
         self._unrenewed: Iterator[bytes] = iter(())
         self._step = 0
         timers = context.process.timers
-        timers.every(_RENEW_SECONDS / _RENEW_STEPS, self._renew, jitter=0.2)
+        timers.every(
+            _RENEW_INTERVAL_SECONDS / _RENEW_STEPS, self._renew, jitter=0.2
+        )
 
     def pool_changed(self) -> None:
         """Announce all flows now and again later, as messages may be lost."""
--- a/siskinbank/sidecar/context.py
+++ b/siskinbank/sidecar/context.py
@@ -20,7 +20,7 @@
 __all__ = ('Limits', 'SidecarContext')
 
 
-_SWEEP_SECONDS = 1.0
+_SWEEP_INTERVAL_SECONDS = 1.0
 _EVENT_BY_VERDICT = {
     Verdict.cold: events.UPSTREAM_COLD,
     Verdict.unreachable: events.UPSTREAM_UNREACHABLE,
@@ -111,7 +111,7 @@
                 lambda: self.owned_flows(),
             )
             self.process.timers.every(
-                _SWEEP_SECONDS,
+                _SWEEP_INTERVAL_SECONDS,
                 self.admission.flow_suspension.sweep,
             )
         self.admission.limits.follow(self.service)
--- a/siskinbank/sidecar/flows.py
+++ b/siskinbank/sidecar/flows.py
@@ -46,7 +46,7 @@
 
 
 class FlowTable:
-    """The flows of one upstream by their 13-byte flow keys."""
+    """The flows of one upstream by the 13 bytes of ``InnerPacket.flow``."""
 
     def __init__(self) -> None:
         """Create an empty table."""
--- a/siskinbank/sidecar/owner_probes.py
+++ b/siskinbank/sidecar/owner_probes.py
@@ -6,7 +6,7 @@
 _MAX_TRIES = 2
 #: How long a probe may be in flight before it counts as lost.
 _IN_FLIGHT_SECONDS = 0.5
-#: Time after the last probe of a flow from which its tries count anew.
+#: Time since the last probe of a flow after which its tries are reset.
 _FORGET_SECONDS = 30
 
 
@@ -22,7 +22,7 @@
         return len(self._probes)
 
     def start(self, flow: bytes, now: float) -> bool:
-        """Record a probe; return False if earlier ones were lost."""
+        """Record a probe; return False if the flow has no tries left."""
         since, tries = self._probes.get(flow, (now, 0))
         if now - since > _FORGET_SECONDS:
             tries = 0
--- a/siskinbank/sidecar/packets.py
+++ b/siskinbank/sidecar/packets.py
@@ -36,7 +36,7 @@
 
 __all__ = ('PacketHandler',)
 
-_EXPIRE_SECONDS = 5
+_EXPIRE_INTERVAL_SECONDS = 5
 _MAX_POINTERS = 100_000
 #: Lifetime of the pointer to the host to which a new flow was forwarded.
 _FORWARD_POINTER_SECONDS = 10
@@ -99,8 +99,8 @@
         context.peers.on_envelope = self.receive
         context.peers.on_message = self.receive_message
         context.view.subscribe(self._refresh)
-        self._timers.every(_EXPIRE_SECONDS, self._accounting.expire)
-        self._timers.every(_EXPIRE_SECONDS, self._expire_pointers)
+        self._timers.every(_EXPIRE_INTERVAL_SECONDS, self._accounting.expire)
+        self._timers.every(_EXPIRE_INTERVAL_SECONDS, self._expire_pointers)
 
     @property
     def age(self) -> float:
--- a/siskinbank/sidecar/primary_hosts.py
+++ b/siskinbank/sidecar/primary_hosts.py
@@ -85,7 +85,7 @@
         return bool(ranked) and ranked[0].name == self._context.process.name
 
     def _expire(self, now: float) -> None:
-        self._former = [entry for entry in self._former if entry[0] > now]
+        self._former = [former for former in self._former if former[0] > now]
 
     def _refresh(self) -> None:
         generation = self._context.view.generation
--- a/siskinbank/wire/envelopes.py
+++ b/siskinbank/wire/envelopes.py
@@ -26,11 +26,11 @@
 OWNER_NAMED = 0x02
 #: Asks the candidates whether they own the flow; the last one may admit it.
 PROBE = 0x04
-#: The candidates were asked already; a host with capacity may admit the flow.
+#: The candidates were asked already; a host with room may admit the flow.
 PROBED = 0x08
 #: The last candidate, which restarted, adopts the flow if no host owns it.
 ADOPT_UNOWNED = 0x10
-#: All candidates are loaded, so hosts of the whole pool are asked.
+#: The candidates refused or are full, so hosts of the whole pool are asked.
 WHOLE_POOL = 0x80
 
 MAX_CANDIDATES = 8
@@ -47,8 +47,9 @@
     """An inner packet that is forwarded between processes.
 
     A receiver that does not own the flow forwards the envelope to the
-    candidate at ``position`` + 1. ``incarnation`` is the owner's incarnation
-    in the known state of the sender, or 0.
+    candidate at ``position`` + 1, or to the first usable one after it.
+    ``incarnation`` is the owner's incarnation in the known state of the sender,
+    or 0.
     """
 
     flags: int
--- a/siskinbank/wire/flow_messages.py
+++ b/siskinbank/wire/flow_messages.py
@@ -29,10 +29,11 @@
 @message
 @dataclasses.dataclass(frozen=True, slots=True)
 class Moved(Message):
-    """Informs a sidecar of flows that the sender owns.
+    """Informs a sidecar which host owns some flows of its service.
 
-    The receiver ranks high for these flows, so their packets may arrive
-    there; it forwards them to the sender until the lease ends. ``flows`` holds
+    The owner is the host at ``address``: mostly the sender, or a host to which
+    the sender has a pointer. Packets of these flows may arrive at the receiver,
+    which forwards them to the owner until the lease ends. ``flows`` holds
     64-bit flow numbers, 8 bytes each.
     """
 
--- a/siskinbank/wire/loads.py
+++ b/siskinbank/wire/loads.py
@@ -12,8 +12,9 @@
 class PoolLoad(Message):
     """Loads of hosts of one service; the first one is the sender's.
 
-    The four lists have the same length: 64-bit host numbers, connections in
-    use, free connections, and the age of the report in tenths of a second.
+    The four lists have the same length: the 64-bit seeds of the hosts (see
+    ``Host.seed``), connections in use, free connections, and the age of each
+    load in tenths of a second.
     """
 
     kind = 60
--- a/siskinbank/wire/messages.py
+++ b/siskinbank/wire/messages.py
@@ -87,11 +87,13 @@
     fields = _field_types(message_class)
     if len(given) != len(fields):
         raise MessageError(
-            f'{len(given)} fields given for {message_class.__name__}'
+            f'{len(given)} fields do not match {message_class.__name__}'
         )
     for name, content in zip(fields, given, strict=True):
         allowed = fields[name]
-        if not isinstance(content, allowed) or _is_bad_bool(content, allowed):
+        if not isinstance(content, allowed) or _is_unexpected_bool(
+            content, allowed
+        ):
             raise MessageError(
                 f'{message_class.__name__}.{name} has a wrong type'
             )
@@ -118,5 +120,5 @@
 }
 
 
-def _is_bad_bool(given: Any, allowed: Any) -> bool:
+def _is_unexpected_bool(given: Any, allowed: Any) -> bool:
     return isinstance(given, bool) and allowed is not bool
--- a/siskinbank/wire/packets.py
+++ b/siskinbank/wire/packets.py
@@ -75,7 +75,7 @@
 
     @property
     def first(self) -> bool:
-        """Whether the packet opens a flow."""
+        """Whether the packet opens a TCP connection: SYN without ACK."""
         return self.protocol == TCP and self.flags & (_SYN | _ACK) == _SYN
 
     @property
@@ -166,9 +166,9 @@
 
 
 def unpack_address(raw: bytes) -> Address:
-    """Return the address of its 6-byte form."""
-    number, port = _ADDRESS.unpack(raw)
-    return socket.inet_ntoa(number), port
+    """Return the address that a 6-byte form holds."""
+    packed_ip, port = _ADDRESS.unpack(raw)
+    return socket.inet_ntoa(packed_ip), port
 
 
 def is_plain_data(raw: bytes) -> bool:
--- a/siskinbank/wire/request_messages.py
+++ b/siskinbank/wire/request_messages.py
@@ -209,7 +209,7 @@
 @message
 @dataclasses.dataclass(frozen=True, slots=True)
 class FenceKey(Message):
-    """Asks a former primary host of a key not to run the key any more."""
+    """Asks a former primary host of a key to run no requests with it."""
 
     kind = 45
     number: int
@@ -220,7 +220,7 @@
 @message
 @dataclasses.dataclass(frozen=True, slots=True)
 class KeyFenced(Message):
-    """The key did not run here in this incarnation and will not run."""
+    """No request with the key ran here in this incarnation, and none will."""
 
     kind = 46
     number: int
--- a/siskinbank/wire/streams.py
+++ b/siskinbank/wire/streams.py
@@ -81,7 +81,7 @@
         except asyncio.IncompleteReadError as error:
             if error.partial:
                 raise MessageError(
-                    'stream was cut inside the length or number of a message'
+                    'stream ended inside the length or number of a message'
                 ) from error
             return None
         size, number = _HEADER.unpack(header)
@@ -93,4 +93,4 @@
         try:
             return await self.reader.readexactly(size)
         except asyncio.IncompleteReadError as error:
-            raise MessageError('stream was cut inside a message') from error
+            raise MessageError('stream ended inside a message') from error
--- a/tests/directory/__init__.py
+++ b/tests/directory/__init__.py
@@ -1,1 +1,1 @@
-"""Tests."""
+"""Tests of siskinbank.directory."""
--- a/tests/directory/test_roster.py
+++ b/tests/directory/test_roster.py
@@ -101,7 +101,7 @@
         )
 
     def test_leaving_while_silent(self) -> None:
-        """A leaving host that falls silent stays leaving until a new epoch."""
+        """A leaving instance that is silent stays leaving until a new epoch."""
         statuses = MemberStatusTable()
         statuses.merge(MemberStatus(5, MemberState.leaving, 'x'), 0)
         statuses.merge(MemberStatus(5, MemberState.silent, 'x'), 4)
@@ -114,7 +114,7 @@
     """Failure detection by live list and silence."""
 
     def test_cases(self) -> None:
-        """The live list alone or a short silence makes no host gone."""
+        """The live list alone or a short silence makes no instance gone."""
         cases = (
             (Listing.absent, None, False),
             (Listing.absent, 2, False),
--- a/tests/peers/__init__.py
+++ b/tests/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Tests."""
+"""Tests of siskinbank.peers."""
--- a/tests/peers/test_freshness.py
+++ b/tests/peers/test_freshness.py
@@ -24,7 +24,7 @@
 
 
 class TestFreshness(unittest.TestCase):
-    """A process that was paused does not act on outdated state."""
+    """A process that was suspended does not act on outdated state."""
 
     def setUp(self) -> None:
         """Create a lease that a peer has just renewed."""
@@ -39,8 +39,8 @@
             self.clock.advance(1)
             self.lease.tick()
 
-    def test_pause(self) -> None:
-        """After a pause only a reply to a new request renews the lease."""
+    def test_suspension(self) -> None:
+        """After a suspension only a reply to a new request renews the lease."""
         old_nonce = self.lease.nonce
         self.clock.advance(LEASE_SECONDS + 5)
         self.assertFalse(self.lease.fresh)
--- a/tests/platform/test_packets.py
+++ b/tests/platform/test_packets.py
@@ -38,7 +38,7 @@
 )
 
 
-class TestHead(unittest.TestCase):
+class TestHeader(unittest.TestCase):
     """Decoding and encoding of packet headers."""
 
     def test_published_example(self) -> None:
--- a/tests/platform/test_records.py
+++ b/tests/platform/test_records.py
@@ -16,7 +16,7 @@
 )
 from siskinbank.platform.records import decode_configuration, decode_host
 
-ENTRY = HostDocument(
+HOST = HostDocument(
     'matcher', ('10.0.0.9', 8080), 'a', 3, cold_s=1.5, born_ms=7
 )
 PLAIN = st.one_of(
@@ -33,9 +33,9 @@
 )
 
 
-def changed_entry(**fields: Any) -> bytes:
+def changed_record(**fields: Any) -> bytes:
     """Return the encoded record with some fields changed."""
-    return json.dumps({**json.loads(ENTRY.encode()), **fields}).encode()
+    return json.dumps({**json.loads(HOST.encode()), **fields}).encode()
 
 
 class TestHost(unittest.TestCase):
@@ -43,7 +43,7 @@
 
     def test_all_fields(self) -> None:
         """All fields are decoded."""
-        record = decode_host(ENTRY.encode())
+        record = decode_host(HOST.encode())
         self.assertEqual(record.service, 'matcher')
         self.assertEqual(record.ip, '10.0.0.9')
         self.assertEqual(record.data_centre, 'a')
@@ -57,28 +57,28 @@
             b'\xff',
             b'{',
             b'7',
-            changed_entry(Service=None),
-            changed_entry(Slots='3'),
-            changed_entry(Slots=True),
-            changed_entry(Slots=-1),
-            changed_entry(born=-1),
-            changed_entry(born=1 << 70),
-            changed_entry(WarmupLeftMs=float('nan')),
-            changed_entry(WarmupLeftMs=float('inf')),
-            changed_entry(State='asleep'),
-            changed_entry(Address='here'),
-            changed_entry(Address='10.0.0:80'),
-            changed_entry(Address='x:80'),
-            changed_entry(WarmupLeftMs='soon'),
-            changed_entry(born=1.5),
-            changed_entry(Zone=[]),
+            changed_record(Service=None),
+            changed_record(Slots='3'),
+            changed_record(Slots=True),
+            changed_record(Slots=-1),
+            changed_record(born=-1),
+            changed_record(born=1 << 70),
+            changed_record(WarmupLeftMs=float('nan')),
+            changed_record(WarmupLeftMs=float('inf')),
+            changed_record(State='asleep'),
+            changed_record(Address='here'),
+            changed_record(Address='10.0.0:80'),
+            changed_record(Address='x:80'),
+            changed_record(WarmupLeftMs='soon'),
+            changed_record(born=1.5),
+            changed_record(Zone=[]),
         ):
             with self.subTest(raw=raw), self.assertRaises(DocumentError):
                 decode_host(raw)
 
     def test_slots_are_capped(self) -> None:
         """A higher number of slots is capped at the maximum."""
-        self.assertEqual(decode_host(changed_entry(Slots=10**9)).slots, 65535)
+        self.assertEqual(decode_host(changed_record(Slots=10**9)).slots, 65535)
 
     @given(st.binary() | JSON.map(lambda value: json.dumps(value).encode()))
     def test_any_input(self, raw: bytes) -> None:
--- a/tests/sidecar/test_execution_claims.py
+++ b/tests/sidecar/test_execution_claims.py
@@ -30,9 +30,9 @@
     """Return a script that applies a fault to the first message of a step."""
     done = False
 
-    def script(sent: Message, there: bool) -> Fault | None:
+    def script(sent: Message, to_target: bool) -> Fault | None:
         nonlocal done
-        if done or not isinstance(sent, step[0]) or there is not step[1]:
+        if done or not isinstance(sent, step[0]) or to_target is not step[1]:
             return None
         done = True
         return fault
@@ -83,7 +83,7 @@
         url = rig.urls()[entry]
         return await self.post(url, BODY, ticket=ticket, deadline=deadline)
 
-    async def test_all(self) -> None:
+    async def test_faults(self) -> None:
         """At most one run, no run after a refusal, complete answers."""
         cases = list(itertools.product(STEPS, Fault))
         checks = [self.check(step, fault) for step, fault in cases]
