--- a/siskinbank/admission/arrivals.py
+++ b/siskinbank/admission/arrivals.py
@@ -4,7 +4,7 @@
 handle only a few requests a second over all entries; more first packets arrive
 at once than a host has slots while its neighbours have room; entries choose by
 statuses that are seconds old and do not show yet that a host is leaving, that
-its data centre was taken out, or that its address was reassigned to another
+its data centre was evacuated, or that its address was reassigned to another
 service. The sidecar therefore decides when the packet arrives, on its own
 measurements and the latest record from the store.
 """
@@ -169,7 +169,7 @@
     """Queue capacity of a host, learned from the requests that it sheds.
 
     Load pattern: a backlog fills the queue of every host. A further request
-    would be refused and cost its caller one of its tries, while a first packet
+    would be refused and cost its client one of its tries, while a first packet
     that is dropped until its next retransmission costs nothing.
     """
 
@@ -186,7 +186,7 @@
         self._shed_at = now
 
     def is_full(self, requests: int, now: float) -> bool:
-        """Return whether another request would be shed, with this many now."""
+        """Return whether a host with this many requests would shed another."""
         if not self._shed_at:
             return False
         # The capacity may grow again with the processing rate, so the limit is
@@ -278,7 +278,7 @@
 
 
 def refusal_is_final(reason: int, copy: int) -> bool:
-    """Return whether a refusal is sent to the caller now.
+    """Return whether a refusal is sent to the client now.
 
     A host that is cold, has a full queue or just started has room again within
     a second, and clients retransmit a first packet twice in that time; any
@@ -292,7 +292,7 @@
 
 
 def no_host_is_final(states: list[int], copy: int) -> bool:
-    """Return whether the caller is told now that no host accepts its flow.
+    """Return whether the client is told now that no host accepts its flow.
 
     Args:
         states: why each host of the service accepts none.
--- a/siskinbank/admission/balance.py
+++ b/siskinbank/admission/balance.py
@@ -15,7 +15,8 @@
 FAIR_FACTOR = 1.02
 #: Age in seconds from which a load report is ignored.
 MAX_REPORT_AGE_SECONDS = 20.0
-#: Hosts drawn beyond those to ask, so that the most loaded ones drop out.
+#: Hosts drawn beyond those to ask, so that the most loaded ones drop out;
+#: with 0 every host drawn is asked.
 _EXTRA_DRAWN_HOSTS = 0
 
 
--- a/siskinbank/admission/pending_queue.py
+++ b/siskinbank/admission/pending_queue.py
@@ -1,7 +1,7 @@
 """First packets that a sidecar queues until its host has a free slot.
 
 Load pattern: all processes and hosts lost power for a second or two. When they
-are back, all callers from that time send at once, with retransmitted first
+are back, all clients from that time send at once, with retransmitted first
 packets that can no longer be answered within the latency that users expect,
 while new requests keep arriving. Served first in, first out, the new ones wait
 behind the backlog until they are late as well, and seconds pass before any
@@ -32,8 +32,8 @@
 # Processing before an answer is ready, in multiples of the usual time: the
 # request itself, and on average half of the request that occupies the slot.
 _PROCESSING_FACTOR = 1.5
-# With more queued flows than this that can be in time, the newest goes first. At
-# a host that is not overloaded, no more than this wait by chance.
+# With more queued flows than this that can be in time, the newest goes first.
+# At a host that is not overloaded, no more than this wait by chance.
 _MAX_IN_ORDER = 2
 # Requests that a host gets beyond its slots, to cover the round trip to the
 # client: the next one is there when a slot becomes free.
--- a/siskinbank/admission/reasons.py
+++ b/siskinbank/admission/reasons.py
@@ -25,7 +25,7 @@
 NONE = 0
 OTHER_SERVICE = 1
 DRAINING = 2
-# The operator took the data centre out.
+# The operator has evacuated the data centre.
 EVACUATED = 3
 STOPPING = 4
 UNREACHABLE = 5
--- a/siskinbank/choice/placement.py
+++ b/siskinbank/choice/placement.py
@@ -30,8 +30,8 @@
 # Cost of a host without a record from the store, in requests in progress: it
 # may have been replaced, but is no worse than a busy host.
 _UNTRUSTED_WEIGHT = 1
-# Largest cost by which the hash of flow and host orders equal hosts, in requests
-# in progress.
+# Largest cost by which the hash of flow and host orders equal hosts, in
+# requests in progress.
 _SPREAD_WEIGHT = 0.1
 _SPREAD_STEPS = 256
 
@@ -59,8 +59,8 @@
     scored.sort()
     chosen = _add_random_candidates([pair[-1] for pair in scored], flow_hash)
     best = [responsive[position] for position in chosen]
-    # Hosts whose sidecars are silent may be restarting; they are used only if no
-    # other host accepts flows.
+    # Hosts whose sidecars are silent may be restarting; they are used only if
+    # no other host accepts flows.
     return best or accepting[:MAX_CANDIDATES]
 
 
@@ -111,5 +111,5 @@
     # As the factor is odd, addresses that differ in the last byte differ here.
     spread = (flow_hash ^ host.packed[3] * 0x9D) % _SPREAD_STEPS / _SPREAD_STEPS
     remote = _REMOTE_WEIGHT if status.data_centre != data_centre else 0
-    unknown = 0 if status.trusted else _UNTRUSTED_WEIGHT
-    return load / status.slots + remote + unknown + spread * _SPREAD_WEIGHT
+    untrusted = 0 if status.trusted else _UNTRUSTED_WEIGHT
+    return load / status.slots + remote + untrusted + spread * _SPREAD_WEIGHT
--- a/siskinbank/choice/registry.py
+++ b/siskinbank/choice/registry.py
@@ -8,7 +8,7 @@
 
 __all__ = ('ChoicePlugin', 'Rank', 'choices')
 
-#: Maps a flow number to the best hosts, in order of preference.
+#: Maps the hash of a flow or key to the best hosts, in order of preference.
 Rank = Callable[[int], list[Host]]
 
 
--- a/siskinbank/choice/router.py
+++ b/siskinbank/choice/router.py
@@ -20,8 +20,8 @@
 class PoolRanks:
     """Rankings of one service's pool.
 
-    ``fresh`` ranks the hosts that accept new work; ``known`` ranks all that
-    may still own flows, including the leaving ones.
+    ``fresh`` ranks the hosts that accept new work (``accepting``); ``known``
+    ranks all that may still own flows, including the leaving ones (``hosts``).
     """
 
     fresh: Rank
--- a/siskinbank/entry/flow_cache.py
+++ b/siskinbank/entry/flow_cache.py
@@ -64,7 +64,7 @@
         Args:
             ip: the host.
             number: its initial sequence number, 0 if unknown.
-            established: whether the host has worked on the flow.
+            established: whether the host has sent more than its SYN.
         """
         if not self._holders or established:
             self.ip = ip
--- a/siskinbank/entry/flow_searches.py
+++ b/siskinbank/entry/flow_searches.py
@@ -75,7 +75,7 @@
 
         Load pattern: hundreds of concurrent searches while dozens of hosts are
         dead. A host is asked again only if its sidecar has sent something
-        since the last question: it restarted, or a datagram was lost.
+        since the last query: it restarted, or a datagram was lost.
 
         Args:
             last_received: time of the last message from the sidecar of each
--- a/siskinbank/entry/links.py
+++ b/siskinbank/entry/links.py
@@ -47,7 +47,7 @@
     """One request on a link and the messages received for it."""
 
     def __init__(self, link: 'RequestLink', number: int) -> None:
-        """Initialize for messages with ``number``."""
+        """Create the exchange whose messages on ``link`` have ``number``."""
         self.number = number
         self.window = SendWindow(INITIAL_CREDIT_BYTES)
         self.body = BodyReader(number, link.post)
--- a/siskinbank/relay/configuration_transfer.py
+++ b/siskinbank/relay/configuration_transfer.py
@@ -45,7 +45,7 @@
         Args:
             node: the process that runs the entry.
             follower: holds the configuration in force.
-            on_change: called after a newer configuration was accepted.
+            on_change: called after a newer configuration was applied.
         """
         self._node = node
         self._follower = follower
@@ -99,7 +99,7 @@
         follower = self._follower
         before = follower.configuration.version
         try:
-            accepted = follower.configuration.offer_packed(packed)
+            applied = follower.configuration.apply_packed(packed)
         except DocumentError as error:
             self._node.log(
                 'configuration.refused',
@@ -107,6 +107,6 @@
                 reason=without_spaces(error),
             )
             return
-        if accepted:
+        if applied:
             follower.log_configuration(before, ip)
             self._on_change()
--- a/siskinbank/relay/entry.py
+++ b/siskinbank/relay/entry.py
@@ -55,8 +55,8 @@
 # Maximum number of placements of a first packet, including those after a
 # refusal by a sidecar.
 _MAX_PLACEMENTS = 3
-# Delay of a planned stop, in seconds: routers stop sending packets to a node
-# after two failed probes, half a second apart.
+# Delay of a planned stop, in seconds: routers stop sending packets to an
+# entry after two failed probes, half a second apart.
 _STOP_DELAY_S = 1.2
 _MS = 1000
 
@@ -240,7 +240,7 @@
     def _is_discovery_done(self) -> bool:
         """Return whether routes and hosts are known.
 
-        Load pattern: after a power loss all callers connect at once, and the
+        Load pattern: after a power loss all clients connect at once, and the
         first host from which a status is received would get all flows.
         """
         if not self._follower.configuration.version or not self._hosts:
--- a/siskinbank/relay/flow_admission.py
+++ b/siskinbank/relay/flow_admission.py
@@ -98,7 +98,9 @@
             self._node.log('host.refusing', flows=len(self._flows))
             self._reporter.send_status()
         if unanswered and unanswered.opening:
-            self._forward(key, unanswered.opening, reasons.HOST_REFUSED)
+            self._forward_or_refuse(
+                key, unanswered.opening, reasons.HOST_REFUSED
+            )
 
     def count_in_time(self) -> int:
         """Return the number of queued flows that precede a new one."""
@@ -116,7 +118,7 @@
             return
         if reason:
             for key, queued in self.queue.clear():
-                self._forward(key, queued.opening, reason)
+                self._forward_or_refuse(key, queued.opening, reason)
             return
         while host.cold_flows_left(now) != 0:
             found = self.queue.next(
@@ -147,7 +149,7 @@
         now = self._node.loop.now
         reason = self._host.refusal_reason(opening.service, now)
         if reason:
-            self._forward(key, opening, reason)
+            self._forward_or_refuse(key, opening, reason)
         else:
             self._queue_or_forward(key, opening)
 
@@ -159,7 +161,7 @@
             now
         )
         if has_candidates and untrusted:
-            self._forward(key, opening, reasons.BUSY)
+            self._forward_or_refuse(key, opening, reasons.BUSY)
             return
         copy = sequence_numbers(opening.packet)[1]
         sent = now - sent_ago_s(copy)
@@ -182,7 +184,7 @@
             opening.best = self._node.packed_ip
             opening.best_wait_ms = messages.wait_ms(wait)
         reason = reasons.BUSY if opening.exceeds_limit else reasons.FULL
-        self._forward(key, opening, reason)
+        self._forward_or_refuse(key, opening, reason)
 
     def _wait_s(self, queued: QueuedOpening) -> float | None:
         """Return the wait here in seconds, or None if the queue is full."""
@@ -264,7 +266,7 @@
         )
         self._deliver(opening.packet)
 
-    def _forward(
+    def _forward_or_refuse(
         self,
         key: bytes,
         opening: messages.Opening,
--- a/siskinbank/relay/follower.py
+++ b/siskinbank/relay/follower.py
@@ -132,17 +132,17 @@
         """Return whether a host without a record in the store is gone."""
         return self._store_availability.absence_is_reliable(self._node.loop.now)
 
-    def adopt_configuration(self, raw: bytes, source: str) -> bool:
-        """Adopt a configuration if it is newer; return whether it was."""
+    def apply_configuration(self, raw: bytes, source: str) -> bool:
+        """Apply a configuration if newer; return whether it was applied."""
         before = self.configuration.version
         try:
-            adopted = self.configuration.offer(raw)
+            applied = self.configuration.apply(raw)
         except DocumentError as error:
             self._log_refusal('configuration.refused', source, error)
             return False
-        if adopted:
+        if applied:
             self.log_configuration(before, source)
-        return adopted
+        return applied
 
     def log_configuration(self, before: int, source: str) -> None:
         """Log and count a change of the configuration in force."""
@@ -276,7 +276,7 @@
         evacuated = {EVACUATIONS_PREFIX + name for name in self.evacuated}
         for change in changes:
             if change.key == CONFIGURATION_KEY and change.content is not None:
-                self.adopt_configuration(change.content, 'store')
+                self.apply_configuration(change.content, 'store')
             elif change.key.startswith(EVACUATIONS_PREFIX):
                 # A key may be set and removed repeatedly; the last change
                 # applies.
--- a/siskinbank/relay/gossip.py
+++ b/siskinbank/relay/gossip.py
@@ -69,7 +69,7 @@
         self._follower = follower
         self._configuration_transfer = configuration_transfer
         self._last_seen: dict[bytes, float] = {}
-        self._stopping: set[bytes] = set()
+        self._stopping_entries: set[bytes] = set()
         self._operator_read_by_peer_at = NEVER
         self._hosts_read_requested = False
         self._announced_version = 0
@@ -85,14 +85,14 @@
         self._send_hellos()
 
     def announce(self) -> None:
-        """Announce own versions and ages to other entries; update the rank."""
+        """Announce version and ages to other entries; update reader rank."""
         datagram = self._announcement().pack()
         for peer in list(self._last_seen)[:_MAX_PEERS_PER_TURN]:
             self._node.send(inet_ntoa(peer), datagram)
         readers = [
             packed
             for packed in self._live_entries()
-            if packed not in self._stopping
+            if packed not in self._stopping_entries
         ]
         self._follower.rank = reader_rank(self._node.packed_ip, readers)
 
@@ -126,7 +126,7 @@
                 self._node.send(inet_ntoa(packed), _HELLO)
 
     def request_hosts_read(self) -> None:
-        """Request an early read of the hosts, whatever the rank of this entry."""
+        """Request an early read of the hosts, at any rank of this entry."""
         self._hosts_read_requested = True
 
     def _hosts_due(self) -> bool:
@@ -208,9 +208,9 @@
         packed = inet_aton(ip)
         self._record_contact(packed)
         if announcement.stopping:
-            self._stopping.add(packed)
+            self._stopping_entries.add(packed)
         else:
-            self._stopping.discard(packed)
+            self._stopping_entries.discard(packed)
         now = self._node.loop.now
         self._configuration_transfer.fetch_if_newer(announcement.version, ip)
         if announcement.version == self._follower.configuration.version:
@@ -261,4 +261,4 @@
         ]
         for packed in silent:
             self._last_seen.pop(packed)
-            self._stopping.discard(packed)
+            self._stopping_entries.discard(packed)
--- a/siskinbank/relay/messages.py
+++ b/siskinbank/relay/messages.py
@@ -391,7 +391,7 @@
 
 
 class Announcement:
-    """Announcement of an entry: its versions and the age of its state.
+    """Announcement of an entry: its version and the age of its state.
 
     Attributes:
         stopping: whether the entry is about to stop.
@@ -435,8 +435,8 @@
             ANNOUNCEMENT,
             self.stopping,
             self.version,
-            _age_ms(self.operator_age_s),
-            _age_ms(self.hosts_age_s),
+            _to_thousandths(self.operator_age_s),
+            _to_thousandths(self.hosts_age_s),
         )
 
 
@@ -505,12 +505,12 @@
             RECORD,
             self.flags,
             self.service,
-            _age_ms(self.age_s),
+            _to_thousandths(self.age_s),
             self.slots,
             self.revision,
             self.born_ms,
-            _age_ms(self.cold_s),
-            _age_ms(self.cold_per_s),
+            _to_thousandths(self.cold_s),
+            _to_thousandths(self.cold_per_s),
             self.operator_revision,
             self.version,
         )
@@ -560,8 +560,8 @@
     return version, index, count, raw[_PIECE.size :]
 
 
-def _age_ms(seconds: float) -> int:
-    return min(_MAX_AGE_MS, max(0, int(seconds * _MS_PER_S)))
+def _to_thousandths(amount: float) -> int:
+    return min(_MAX_AGE_MS, max(0, int(amount * _MS_PER_S)))
 
 
 def _unpack(layout: Struct, raw: bytes) -> tuple[Any, ...]:
--- a/siskinbank/relay/request_tracker.py
+++ b/siskinbank/relay/request_tracker.py
@@ -110,7 +110,7 @@
     ) -> None:
         """End a request after a delay, as its host has closed the flow.
 
-        Load pattern: callers close their side with the request, and hosts
+        Load pattern: clients close their side with the request, and hosts
         close theirs without an answer. Each such request would count as load
         until the idle timeout of its flow. The delay is for an answer that
         arrives after the end of its flow because packets are reordered.
--- a/siskinbank/relay/sidecar.py
+++ b/siskinbank/relay/sidecar.py
@@ -211,7 +211,7 @@
             self._node.send(flow.entry, note)
 
     def _send_not_held(self, key: bytes, unanswered: UnansweredPacket) -> None:
-        """Answer a query for a flow that the host doesn't hold."""
+        """Tell an entry that the host doesn't hold a flow."""
         if unanswered.relayed:
             note = messages.pack_keys(messages.NOT_HELD, [key])
             self._node.send(unanswered.entry, note)
--- a/siskinbank/tracking/configuration.py
+++ b/siskinbank/tracking/configuration.py
@@ -41,7 +41,7 @@
             self._packed = compress(self._raw, _COMPRESSION_LEVEL)
         return self._packed
 
-    def offer(self, raw: bytes) -> bool:
+    def apply(self, raw: bytes) -> bool:
         """Apply a configuration if it is newer; return whether it was applied.
 
         Args:
@@ -61,7 +61,7 @@
         self._packed = b''
         return True
 
-    def offer_packed(self, packed: bytes) -> bool:
+    def apply_packed(self, packed: bytes) -> bool:
         """Apply a compressed configuration from a peer if it is newer.
 
         Raises:
@@ -72,4 +72,4 @@
             raw = decompress(packed)
         except CompressionError as error:
             raise DocumentError(str(error)) from None
-        return self.offer(raw)
+        return self.apply(raw)
--- a/siskinbank/tracking/hosts.py
+++ b/siskinbank/tracking/hosts.py
@@ -9,8 +9,8 @@
 
 __all__ = ('SILENT_S', 'HostTable', 'TrackedHost')
 
-# A sidecar sends a status every 0.4 s; it counts as silent, in seconds, after
-# three missed ones.
+# A sidecar without a status update for this long, in seconds, counts as silent:
+# three missed ones, as it sends one every 0.4 s.
 SILENT_S = 1.3
 # A host without an update for this long, in seconds, is removed: the longest
 # lifetime of a flow on the platform.
--- a/siskinbank/tracking/store_reads.py
+++ b/siskinbank/tracking/store_reads.py
@@ -33,13 +33,14 @@
 # A sidecar reads the store itself when the newest record from an entry is
 # older than this, in seconds.
 _SIDECAR_READ_AGE_S = 2.1
-# After its start a sidecar waits about a second before it reads, as entries
-# that start at the same time read first.
-_START_ALLOWANCE_S = 1.1
+# Age of the newest record that a sidecar assumes at its start, in seconds. It
+# then waits about a second before it reads, as entries that start at the same
+# time read first.
+_ASSUMED_START_AGE_S = 1.1
 
 # Hosts whose records expired during an outage of the store are registered again
-# within two seconds of its return. Until this time after its return, in seconds,
-# a missing record does not show that the host is gone.
+# within two seconds of its return. Until this time after its return, in
+# seconds, a missing record does not show that the host is gone.
 _RECOVERY_S = 2.3
 # If no process got a listing for this long, in seconds, the store was
 # unavailable.
@@ -124,7 +125,7 @@
             entry.
         own_read_at: time when the sidecar last read the store itself.
     """
-    newest = max(confirmed_at, own_read_at, started - _START_ALLOWANCE_S)
+    newest = max(confirmed_at, own_read_at, started - _ASSUMED_START_AGE_S)
     return now - newest > _SIDECAR_READ_AGE_S
 
 
--- a/tests/admission/test_arrivals.py
+++ b/tests/admission/test_arrivals.py
@@ -142,7 +142,7 @@
         self.assertFalse(host.is_paused(100.2))
         self.assertFalse(host.note_refusal(100.3))
 
-    def test_callers_wait_for_starting_hosts(self) -> None:
+    def test_clients_wait_for_starting_hosts(self) -> None:
         """They are refused if no retransmission of their packet is left."""
         starting = [reasons.DRAINING, reasons.REFUSING]
         self.assertFalse(no_host_is_final(starting, 0))
@@ -211,9 +211,9 @@
 
 
 class TestRefusal(unittest.TestCase):
-    """Which refusals a caller gets, and when."""
+    """Which refusals a client gets, and when."""
 
-    def test_only_brief_reasons_delay_the_refusal(self) -> None:
+    def test_only_short_lived_reasons_delay_the_refusal(self) -> None:
         """They delay it up to the last retransmission of the first packet."""
         self.assertTrue(refusal_is_final(reasons.BUSY, 0))
         self.assertTrue(refusal_is_final(reasons.DRAINING, 0))
--- a/tests/choice/test_placement.py
+++ b/tests/choice/test_placement.py
@@ -47,9 +47,9 @@
 
     def test_untrusted_hosts_are_no_worse_than_busy_ones(self) -> None:
         """Load pattern: store records expired in a network partition."""
-        unknown = make_host(1, trusted=False)
+        untrusted = make_host(1, trusted=False)
         for busy, first in ((0, '2'), (2, '1')):
-            hosts = [unknown, make_host(2, busy=busy)]
+            hosts = [untrusted, make_host(2, busy=busy)]
             self.assertEqual(
                 rank_hosts(hosts, 0, LOCAL_DATA_CENTRE, 100)[0].ip[-1], first
             )
--- a/tests/entry/test_flow_cache.py
+++ b/tests/entry/test_flow_cache.py
@@ -110,8 +110,8 @@
         last_received['alive'] = 101.5
         self.assertEqual(search.hosts_to_ask(last_received, 101.6), [])
 
-    def test_first_packet_is_not_queued(self) -> None:
-        """A retransmission of the first packet was sent to the hosts already."""
+    def test_retransmission_is_not_queued(self) -> None:
+        """The packet that started the search was sent to the hosts already."""
         search = FlowSearch(0, b'first')
         search.queue_packet(b'first')
         self.assertEqual(search.queued_packets, [])
--- a/tests/relay/test_flow_searcher.py
+++ b/tests/relay/test_flow_searcher.py
@@ -138,9 +138,9 @@
         The load lasts for a second, and nearly all flows must be queried.
         """
         env = Environment()
-        began = env.loop.now
+        started = env.loop.now
         for number in range(250):
-            env.loop.now = began + number * 0.004
+            env.loop.now = started + number * 0.004
             key = flow_key(number)
             env.searcher.search(key, packet_of(key))
             env.run_timers()
--- a/tests/tracking/test_configuration.py
+++ b/tests/tracking/test_configuration.py
@@ -19,21 +19,21 @@
         """In any order, from the store or from peers."""
         configuration = Configuration()
         for version, applied in ((5, True), (5, False), (3, False), (9, True)):
-            self.assertEqual(configuration.offer(raw(version)), applied)
+            self.assertEqual(configuration.apply(raw(version)), applied)
         other = Configuration()
-        self.assertTrue(other.offer_packed(configuration.packed))
+        self.assertTrue(other.apply_packed(configuration.packed))
         self.assertEqual((other.version, len(other.routes)), (9, 1))
 
     def test_damaged_documents_are_rejected(self) -> None:
         """The configuration in force is kept."""
         configuration = Configuration()
-        configuration.offer(raw(5))
+        configuration.apply(raw(5))
         for damaged in (b'', b'x', configuration.packed[:-4]):
             with (
                 self.subTest(damaged=damaged),
                 self.assertRaises(DocumentError),
             ):
-                configuration.offer_packed(damaged)
+                configuration.apply_packed(damaged)
         with self.assertRaises(DocumentError):
-            configuration.offer(raw(6)[:-1])
+            configuration.apply(raw(6)[:-1])
         self.assertEqual(configuration.version, 5)
