--- a/siskinbank/lab/cold.py
+++ b/siskinbank/lab/cold.py
@@ -43,8 +43,10 @@
     """Results of one run.
 
     Attributes:
-        excess: number of packets at upstreams above their limit.
-        burst_excess: number of new connections above the limit per second.
+        excess: number of packets received while the connection limit of their
+            upstream was exceeded.
+        burst_excess: number of new connections beyond the limit on new
+            connections per second, during the warm-up.
         collapse_count: number of collapses besides the injected one.
         recovery_seconds: time until the cold host has its share again.
         broken_flows: number of flows broken besides the injected collapse.
--- a/siskinbank/lab/commands/callers.py
+++ b/siskinbank/lab/commands/callers.py
@@ -45,7 +45,7 @@
     type=float,
     default=0,
     show_default=True,
-    help='Share of the requests with a key that are sent twice.',
+    help='Share of the non-idempotent requests that are sent twice.',
 )
 @click.option(
     '--burst',
--- a/siskinbank/lab/commands/control.py
+++ b/siskinbank/lab/commands/control.py
@@ -11,7 +11,7 @@
 
 command = make_command(
     'control',
-    'Measure bytes, processor time and memory of the control plane.',
+    'Measure bytes, CPU time and memory of the control plane.',
     measure_control,
     [
         click.Option(
--- a/siskinbank/lab/commands/demo.py
+++ b/siskinbank/lab/commands/demo.py
@@ -15,7 +15,7 @@
 def command() -> int:
     """Run a small fleet under load with failures and planned changes.
 
-    Kills an entry, drains an upstream, and takes a data centre out of service
+    Kills an entry, drains a host, and takes a data centre out of service
     and back. Exits with 0 only if all invariants held.
     """
 
--- a/siskinbank/lab/commands/overload.py
+++ b/siskinbank/lab/commands/overload.py
@@ -9,7 +9,7 @@
 
 command = make_command(
     'overload',
-    'Measure answers in time at three times the upstream capacity.',
+    'Measure goodput at three times the upstream capacity.',
     measure_overload,
     [
         click.Option(
--- a/siskinbank/lab/control.py
+++ b/siskinbank/lab/control.py
@@ -21,7 +21,7 @@
 _MAX_BYTES_PER_SECOND = 28_000
 _MAX_CORE_SHARE = 0.01
 _MAX_KILOBYTES = 32 * 1024
-_CHANGES_A_DAY = 260
+_CHANGES_PER_DAY = 260
 _SECONDS_PER_DAY = 86_400
 _MILLISECONDS_PER_SECOND = 1000
 _IDLE_SECONDS = 4
@@ -63,7 +63,9 @@
     figures['core_share_idle'] = idle['core_share']
     for name in ('bytes_a_second', 'core_share'):
         cost_per_change = max(change[name] - idle[name], 0) / changes_per_second
-        daily = idle[name] + cost_per_change * _CHANGES_A_DAY / _SECONDS_PER_DAY
+        daily = (
+            idle[name] + cost_per_change * _CHANGES_PER_DAY / _SECONDS_PER_DAY
+        )
         figures[f'{name}_260_changes_a_day'] = daily
     worst = _measure_cost(fleet, _run_worst_case)
     figures['bytes_a_second_worst'] = worst['bytes_a_second']
@@ -75,7 +77,7 @@
     )
     figures['core_share_worst'] = worst['core_share'] + validation_seconds
     figures['core_share_260_changes_a_day'] += (
-        validation_seconds * _CHANGES_A_DAY / _SECONDS_PER_DAY
+        validation_seconds * _CHANGES_PER_DAY / _SECONDS_PER_DAY
     )
     naive = _naive_cost(processes)
     bounds = [
@@ -95,9 +97,9 @@
     fleet: VirtualFleet,
     run_scenario: Callable[[VirtualFleet], float],
 ) -> dict[str, float]:
-    """Return bytes sent and processor time per process and second.
+    """Return bytes sent and CPU time per process and second.
 
-    The processor time covers siskinbank's decisions, codec and message
+    The CPU time covers siskinbank's decisions, codec and message
     authentication, without sockets and the event loop; for those see
     ``--real``.
     """
@@ -106,13 +108,13 @@
     gc.collect()
     started = time.process_time()
     seconds = run_scenario(fleet)
-    processor_seconds = time.process_time() - started
+    cpu_seconds = time.process_time() - started
     bytes_sent = network.bytes_sent - bytes_before
     bytes_sent += (network.datagrams - datagrams_before) * _HEADER_BYTES
     process_seconds = len(fleet.nodes) * seconds
     return {
         'bytes_a_second': bytes_sent / process_seconds,
-        'core_share': processor_seconds / process_seconds,
+        'core_share': cpu_seconds / process_seconds,
     }
 
 
@@ -135,10 +137,10 @@
 
 
 def _run_worst_case(fleet: VirtualFleet) -> float:
-    """Kill a data centre, then change the fleet every second.
+    """Kill all processes of a data centre, then change the fleet every second.
 
-    Each second publishes a document, restarts a process and lists another as
-    leaving.
+    Each change publishes a document, restarts a process and lists another one
+    as leaving.
     """
     data_centre = fleet.instances[0].data_centre
     for instance in fleet.instances:
--- a/siskinbank/lab/cost.py
+++ b/siskinbank/lab/cost.py
@@ -191,8 +191,10 @@
 
 def _seal(sidecar: PoolSidecar, flags: int, raw: bytes) -> bytes:
     receiver = pack_address(sidecar.address)
-    ident = digest64(SERVICE)
-    envelope = Envelope(flags, 0, 0, ident, 1, 0, receiver, (receiver,), raw)
+    service_digest = digest64(SERVICE)
+    envelope = Envelope(
+        flags, 0, 0, service_digest, 1, 0, receiver, (receiver,), raw
+    )
     return sidecar.context.peers.keys.seal(envelope.pack())
 
 
--- a/siskinbank/lab/data_centre.py
+++ b/siskinbank/lab/data_centre.py
@@ -48,16 +48,18 @@
     """Results of one run.
 
     Attributes:
-        late_packets: number of packets to hosts out of service, from 3
-            seconds after the publication on.
+        late_packets: number of packets to hosts out of service later than 3
+            seconds after the publication.
         broken_flows: number of broken flows of other hosts.
         falsely_refused: number of refused attempts to open a flow while a
             host had capacity.
         refused: number of refused attempts to open a flow.
         abandoned_flows: number of flows dropped by hosts out of service.
         opened: number of opened flows.
-        excess: number of packets at upstreams above their limit.
-        burst_excess: number of new connections above the limit per second.
+        excess: number of packets received while the connection limit of their
+            upstream was exceeded.
+        burst_excess: number of new connections beyond the limit on new
+            connections per second, during the warm-up.
         recovery_seconds: time until the hosts have their share again, by
             round.
     """
--- a/siskinbank/lab/demo.py
+++ b/siskinbank/lab/demo.py
@@ -50,7 +50,8 @@
         not_run: requests that were reported as not run.
         wrong_outcomes: requests with a wrong answer or outcome, or that ran
             more than once without being idempotent, as JSON.
-        wrong_service: targets of another service that upstreams received.
+        wrong_service: addresses of another service to which upstreams received
+            packets.
         packets_while_out: packets to a data centre that was out of service.
     """
 
--- a/siskinbank/lab/fairness.py
+++ b/siskinbank/lab/fairness.py
@@ -83,7 +83,8 @@
                 balance.control_bytes_per_second
             )
             # In both cases the load endpoints of the hosts lag or report zero.
-            # With a delayed exchange between sidecars the ratio has no bound.
+            # With a delayed exchange between sidecars no bound on the ratio is
+            # checked.
             if not lag_seconds:
                 bounds.append(
                     at_most(name, _MAX_LOAD_RATIO, balance.worst_ratio)
--- a/siskinbank/lab/fleet.py
+++ b/siskinbank/lab/fleet.py
@@ -21,8 +21,8 @@
 __all__ = ('Fleet', 'FleetPlan', 'HostPorts')
 
 _LOOPBACK = '127.0.0.1'
-_START_SECONDS = 20
-_POLL_SECONDS = 0.1
+_START_TIMEOUT_SECONDS = 20
+_POLL_INTERVAL_SECONDS = 0.1
 _KEY_BYTES = 32
 
 
@@ -35,10 +35,10 @@
         data_centres: names of the data centres.
         entries: number of entries.
         services: number of hosts of each service.
-        slots: slots of each host.
+        slots: requests that each host processes at the same time.
         connections: connections that each host accepts.
         warm_up_seconds: warm-up time of a host.
-        cold_slots: slots of a host right after its start, ``slots`` if None.
+        cold_slots: the same right after its start; ``slots`` if None.
     """
 
     site: str
@@ -88,7 +88,7 @@
     )
 
     @property
-    def platform(self) -> str:
+    def platform_url(self) -> str:
         """The platform's URL."""
         return f'http://{_LOOPBACK}:{self.platform_port}'
 
@@ -276,7 +276,7 @@
         Args:
             seconds: time during which they open flows and send requests.
             seed: seed of their random choices.
-            resent: share of the requests with a key that are sent twice.
+            resent: share of the non-idempotent requests that are sent twice.
             burst: number of requests sent at once every two seconds.
         """
         arguments = [
@@ -337,7 +337,7 @@
             TimeoutError: the generation was not in force in time.
         """
         url = f'http://{self._endpoint(port)}/status'
-        async with asyncio.timeout(_START_SECONDS):
+        async with asyncio.timeout(_START_TIMEOUT_SECONDS):
             while True:
                 try:
                     status = await self.get(url)
@@ -345,7 +345,7 @@
                     status = {'generation': 0}
                 if status['generation'] >= (min_generation or self.generation):
                     return
-                await asyncio.sleep(_POLL_SECONDS)
+                await asyncio.sleep(_POLL_INTERVAL_SECONDS)
 
     async def stop(self) -> None:
         """Stop all processes."""
@@ -368,7 +368,7 @@
             '--admin',
             self._endpoint(admin),
             '--platform',
-            self.platform,
+            self.platform_url,
             '--keys',
             self.key,
             '--log-level',
@@ -385,7 +385,7 @@
             'platform',
             ['lab', 'platform', '--bind', self._endpoint(self.platform_port)],
         )
-        await self._wait_for(f'{self.platform}/v1/manifest')
+        await self._wait_for(f'{self.platform_url}/v1/manifest')
         await self.publish()
         await self.publish_instances()
 
@@ -402,24 +402,24 @@
                 '--bind',
                 self._endpoint(self.fabric_port),
                 '--platform',
-                self.platform,
+                self.platform_url,
                 *targets,
             ],
         )
 
     async def _put(self, resource: str, content: Any) -> None:
-        url = f'{self.platform}/admin/{resource}'
+        url = f'{self.platform_url}/admin/{resource}'
         async with aiohttp.ClientSession() as session:
             async with session.put(url, data=json.dumps(content)) as answer:
                 answer.raise_for_status()
 
     async def _wait_for(self, url: str) -> None:
-        async with asyncio.timeout(_START_SECONDS):
+        async with asyncio.timeout(_START_TIMEOUT_SECONDS):
             while True:
                 try:
                     await self.get(url)
                 except (OSError, aiohttp.ClientError):
-                    await asyncio.sleep(_POLL_SECONDS)
+                    await asyncio.sleep(_POLL_INTERVAL_SECONDS)
                 else:
                     return
 
--- a/siskinbank/lab/flow_traffic.py
+++ b/siskinbank/lab/flow_traffic.py
@@ -43,7 +43,7 @@
 
     Attributes:
         endpoints: addresses and ports of caller and service.
-        number: 64-bit flow number.
+        number: 64-bit number of the flow, as entries and sidecars compute it.
         udp: whether it is a UDP flow.
         owner: host that accepted the flow.
         naive_hosts: hosts that the naive balancers chose for the first
--- a/siskinbank/lab/flows.py
+++ b/siskinbank/lab/flows.py
@@ -22,6 +22,7 @@
 _RESTART_SECONDS = 0.2
 _MIN_ACTIVE_HOSTS = 3
 _MAX_ADDED_HOSTS = 3
+#: Packets with at most this many extra hops count as near.
 _MAX_NEAR_HOPS = 1
 _MIN_NEAR_SHARE = 0.95
 _NEW_FLOW_SHARE = 0.05
--- a/siskinbank/lab/forwarding.py
+++ b/siskinbank/lab/forwarding.py
@@ -133,7 +133,7 @@
     """Announce the sink to the entry as the owner of all flows."""
     keys = KeyRing(parse_keys(fleet.key))
     replay_guard = ReplayGuard()
-    bind = (_LOOPBACK, fleet.entries['entry-1'].bind)
+    entry_address = (_LOOPBACK, fleet.entries['entry-1'].bind)
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sender:
         for packet in _make_packets(_service_address(fleet)):
             inner = parse_inner(packet)
@@ -141,7 +141,7 @@
             message = encode(Owner(inner.flow, pack_address(sink), 1, 1))
             sender.sendto(
                 keys.seal(_CONTROL_PREFIX + replay_guard.stamp() + message),
-                bind,
+                entry_address,
             )
             time.sleep(_SEND_INTERVAL_SECONDS)
 
--- a/siskinbank/lab/instances.py
+++ b/siskinbank/lab/instances.py
@@ -29,7 +29,8 @@
 class EntryPorts:
     """The data centre, address and ports of one entry.
 
-    Its services listen at ``address``.
+    Its services listen at ``address``; ``bind`` is its port for other siskinbank
+    processes, ``fou`` its port for IP-in-UDP packets.
     """
 
     data_centre: str
--- a/siskinbank/lab/invariants.py
+++ b/siskinbank/lab/invariants.py
@@ -16,9 +16,11 @@
     'check_invariants',
 )
 
+#: Time after a change in which work may still reach a host.
 _GRACE_SECONDS = 3
 #: Resolution of the counts in the upstreams' statistics.
 _BUCKETS_PER_SECOND = 10
+#: A fault that begins up to this long before a flow may still break it.
 _START_MARGIN_SECONDS = 0.5
 #: Time after an unplanned fault in which a request may still be interrupted.
 _FAULT_EFFECT_SECONDS = 5
@@ -229,7 +231,7 @@
     buckets: dict[str, int],
     disturbance: Disturbance,
 ) -> int:
-    """Count packets or requests during a change, without its grace period.
+    """Count arrivals or starts during a change, without its grace period.
 
     No process can learn of a change while the platform is down or stale; the
     grace period then starts when the platform has recovered.
--- a/siskinbank/lab/key_cost.py
+++ b/siskinbank/lab/key_cost.py
@@ -29,7 +29,7 @@
 _MICROSECONDS_PER_SECOND = 1_000_000
 _SEALED_PACKETS = 20_000
 #: Size of the header of an envelope with one candidate.
-_HEAD_BYTES = 40
+_ENVELOPE_HEADER_BYTES = 40
 #: Minimum ratio of the rate with keys to the rate without.
 _MIN_PACKET_SHARE = 0.5
 _MIN_STREAM_SHARE = 0.2
@@ -102,7 +102,7 @@
 
 def _seal_cost(ring: KeyRing) -> float:
     """Return the microseconds to seal and open one packet."""
-    head = bytes(_HEAD_BYTES)
+    head = bytes(_ENVELOPE_HEADER_BYTES)
     tail = bytes(_PAYLOAD_BYTES)
     started = time.process_time()
     for _ in range(_SEALED_PACKETS):
--- a/siskinbank/lab/limited_upstream.py
+++ b/siskinbank/lab/limited_upstream.py
@@ -13,8 +13,8 @@
     'LimitedUpstream',
     'add_monitored_sidecar',
     'has_flow',
-    'host_address',
     'host_name',
+    'monitored_sidecar_address',
 )
 
 #: The caller's packed IPv4 address and port, by which an upstream tells its
@@ -55,7 +55,8 @@
         reports_zero: whether the load endpoint always reports no load.
         excess: number of packets received while its connection limit was
             exceeded.
-        burst_excess: number of new connections above the limit per second.
+        burst_excess: number of new connections beyond the limit on new
+            connections per second, during the warm-up.
         collapse_count: number of collapses.
         down_until: time until which it does not answer.
         abandoned_flows: flows that it dropped.
@@ -103,7 +104,11 @@
         return now >= self.down_until
 
     def response_seconds(self, now: float) -> float:
-        """Return the response time in seconds, which is longer while cold."""
+        """Return the response time in seconds.
+
+        It is longer during the first half of the warm-up, except in the first
+        incarnation.
+        """
         is_cold = now - self.cold_since < self.warm_up_seconds / 2 and (
             self.incarnation > 1
         )
@@ -192,7 +197,7 @@
     """Start a sidecar with regular health checks of ``upstream``."""
     sidecar = pool.add_sidecar(
         host_name(number),
-        host_address(number),
+        monitored_sidecar_address(number),
         upstream,
     )
 
@@ -223,7 +228,7 @@
     return f'matcher-{number}'
 
 
-def host_address(number: int) -> Address:
+def monitored_sidecar_address(number: int) -> Address:
     """Return the address of the sidecar of a host."""
     subnet, low = divmod(number, _HOSTS_PER_SUBNET)
     return f'10.0.{subnet}.{low + 1}', 7100
--- a/siskinbank/lab/membership.py
+++ b/siskinbank/lab/membership.py
@@ -154,7 +154,7 @@
 
 
 def _pause_processes(fleet: VirtualFleet) -> dict[str, Any]:
-    """Pause two processes for longer than the lease, then resume them."""
+    """Pause two processes for longer than their lease on the known state."""
     paused = fleet.running_nodes[:2]
     for paused_node in paused:
         paused_node.pause()
--- a/siskinbank/lab/memory.py
+++ b/siskinbank/lab/memory.py
@@ -46,12 +46,12 @@
 
 
 def bare_kilobytes() -> int:
-    """Return the USS of an idle Python interpreter in KiB."""
+    """Return the USS of a bare Python interpreter in KiB."""
     return _measure_statement('pass')
 
 
 def import_costs() -> dict[str, int]:
-    """Return the USS of each import beyond an idle interpreter, in KiB.
+    """Return the USS of each import beyond a bare interpreter, in KiB.
 
     Each module is imported alone in a new interpreter.
     """
--- a/siskinbank/lab/node_state.py
+++ b/siskinbank/lab/node_state.py
@@ -22,7 +22,7 @@
 
 
 def measure_state(size: int, seed: int) -> dict[str, float]:
-    """Return memory in KiB and processor time of a change in milliseconds.
+    """Return memory in KiB and the CPU time of a change in milliseconds.
 
     ``roster_kilobytes`` is the instance list with its index,
     ``documents_kilobytes`` the compressed sections, ``site_kilobytes`` the
--- a/siskinbank/lab/pool.py
+++ b/siskinbank/lab/pool.py
@@ -1,4 +1,4 @@
-"""An in-memory pool of real entries and sidecars on a fake network."""
+"""An in-memory pool of real entries and sidecars on a simulated network."""
 
 import asyncio
 import random
@@ -193,7 +193,7 @@
             self.entries[name].alive = False
 
     def spray(self, datagram: bytes) -> PoolEntry:
-        """Pass a packet of a caller to a random live entry and return it."""
+        """Pass a caller's packet to a random live entry and return that entry."""
         alive = [entry for entry in self.entries.values() if entry.alive]
         entry = self.rng.choice(alive)
         entry.ingress.receive(datagram, ('10.250.0.1', 1))
--- a/siskinbank/lab/real_fleet.py
+++ b/siskinbank/lab/real_fleet.py
@@ -27,7 +27,7 @@
         processes: number of processes measured.
         core_share: mean share of a core that a process used.
         bytes_a_second: mean control bytes per second that a process sent.
-        kilobytes: largest private memory of a process in kilobytes, by role.
+        kilobytes: largest unique set size of a process in KiB, by role.
     """
 
     processes: int
--- a/siskinbank/lab/request_faults.py
+++ b/siskinbank/lab/request_faults.py
@@ -6,7 +6,7 @@
 
 from siskinbank.lab.request_rig import RequestRig, RigHost
 
-__all__ = ('FaultInjector',)
+__all__ = ('RequestFaultInjector',)
 
 _FAULT_INTERVAL_SECONDS = 0.35
 _MAX_PAUSE_SECONDS = 1.2
@@ -19,7 +19,7 @@
 _MIN_ACTIVE_HOSTS = 3
 
 
-class FaultInjector:
+class RequestFaultInjector:
     """Injects random faults into a request rig, one at a time.
 
     Attributes:
--- a/siskinbank/lab/request_rig.py
+++ b/siskinbank/lab/request_rig.py
@@ -41,7 +41,7 @@
 #: Ports of the link, the sidecar and the upstream.
 _PORTS_PER_HOST = 3
 
-#: Rig numbers start again from 0 here, since a rig's addresses have 16 bits for
+#: Rig numbers wrap around at this value, as a rig's addresses have 16 bits for
 #: its number. Fewer rigs than this run at the same time.
 _MAX_RIGS = 60_000
 _rig_numbers = itertools.count()
--- a/siskinbank/lab/requests.py
+++ b/siskinbank/lab/requests.py
@@ -12,7 +12,7 @@
 from siskinbank.lab.experiment import ExperimentReport, at_least, at_most
 from siskinbank.lab.faulty_link import LinkFaults
 from siskinbank.lab.naive_rig import NaiveRig
-from siskinbank.lab.request_faults import FaultInjector
+from siskinbank.lab.request_faults import RequestFaultInjector
 from siskinbank.lab.request_log import (
     CONNECTION_LOST,
     Attempt,
@@ -203,7 +203,7 @@
     rig = RequestRig(rng, _SLOTS)
     await rig.start(_ENTRIES, _HOSTS, _FRAME_FAULTS)
     rig.clock_offset += SETTLE_SECONDS + 1
-    injector = FaultInjector(rig, rng)
+    injector = RequestFaultInjector(rig, rng)
     try:
         async with aiohttp.ClientSession() as session:
             load = _LoadGenerator(
--- a/siskinbank/lab/retry_storm.py
+++ b/siskinbank/lab/retry_storm.py
@@ -57,7 +57,7 @@
     urls: list[str],
     rng: random.Random,
 ) -> int:
-    """Send requests while all upstreams fail; return how many reach these."""
+    """Send requests while all upstreams fail; return how many reach them."""
     for upstream in upstreams:
         upstream.behaviour = Behaviour.drop
     async with aiohttp.ClientSession() as session:
--- a/siskinbank/lab/soak.py
+++ b/siskinbank/lab/soak.py
@@ -29,7 +29,7 @@
 _LOAD_ROUND_SECONDS = 20
 _CALLERS_TIMEOUT_SECONDS = 45
 _SETTLE_SECONDS = 2
-_POLL_SECONDS = 0.5
+_POLL_INTERVAL_SECONDS = 0.5
 _POLL_TIMEOUT_SECONDS = 1
 _MAX_IN_FORCE_SECONDS = 11
 _SECONDS_PER_MINUTE = 60
@@ -37,7 +37,7 @@
 #: More concurrent requests than all upstreams have slots for, so that some
 #: are refused.
 _BURST_REQUESTS = 60
-#: Range of callers' seeds of one soak seed; each round of load uses one.
+#: Number of callers' seeds for each soak seed; each round of load uses one.
 _CALLER_SEEDS_PER_RUN = 1000
 
 LineWriter = Callable[[str], None]
@@ -188,7 +188,7 @@
         url = f'http://127.0.0.1:{port}/status'
         async with aiohttp.ClientSession(timeout=timeout) as session:
             while True:
-                await asyncio.sleep(_POLL_SECONDS)
+                await asyncio.sleep(_POLL_INTERVAL_SECONDS)
                 status = await _get_status(session, url)
                 if status is None:
                     state.unanswered_at = time.time()
--- a/siskinbank/lab/standins/upstream.py
+++ b/siskinbank/lab/standins/upstream.py
@@ -63,7 +63,7 @@
         Args:
             name: name in its answers.
             callers: address that answers to packets are sent to.
-            slots: requests that are processed at once; others wait.
+            slots: requests that are processed at the same time; others wait.
             cold: lower capacity after the start. Requests above it are
                 counted but not refused.
         """
--- a/siskinbank/lab/traffic.py
+++ b/siskinbank/lab/traffic.py
@@ -12,8 +12,8 @@
 from siskinbank.lab.limited_upstream import (
     CallerEndpoint,
     has_flow,
-    host_address,
     host_name,
+    monitored_sidecar_address,
 )
 from siskinbank.lab.pool import Pool, PoolSidecar
 from siskinbank.lab.standins.packets import ACK, FIN, SYN, Flow, make_packet
@@ -27,7 +27,7 @@
     'draw_arrivals',
 )
 
-_SERVICE = ('10.77.0.1', 443)
+_SERVICE_ADDRESS = ('10.77.0.1', 443)
 CALLER: Address = ('10.250.0.1', 1)
 _LONG_SHARE = 0.2
 _MEAN_LONG_SECONDS = 100.0
@@ -41,7 +41,7 @@
 #: Free capacity that has lasted this long is known to the pool.
 _KNOWN_CAPACITY_SECONDS = 1.0
 _SAMPLE_SECONDS = 0.02
-#: Added to the number of a flow when its caller reconnects.
+#: Added to the serial number of a flow when its caller reconnects.
 _RECONNECT_OFFSET = 10_000_000
 
 
@@ -52,7 +52,7 @@
     Attributes:
         at: time of the first packet in seconds.
         duration_seconds: duration of the flow.
-        number: number of the flow, from which its addresses are derived.
+        number: serial number, from which the flow's addresses are derived.
     """
 
     at: float
@@ -64,7 +64,7 @@
         """Addresses and ports of the flow."""
         high, port = divmod(self.number, _PORTS_PER_ADDRESS)
         source = f'10.9.{high >> 8}.{high & 0xFF}'
-        return Flow(source, _FIRST_PORT + port, *_SERVICE)
+        return Flow(source, _FIRST_PORT + port, *_SERVICE_ADDRESS)
 
     @property
     def endpoint(self) -> CallerEndpoint:
@@ -74,7 +74,7 @@
 
     @property
     def key(self) -> int:
-        """64-bit hash of the flow."""
+        """64-bit number of the flow, as entries and sidecars compute it."""
         packet = parse_inner(make_packet(self.flow, SYN))
         assert packet is not None
         return packet.key
@@ -306,7 +306,10 @@
             'services': {
                 'matcher': {
                     'ingress': {
-                        'fou': {'address': _SERVICE[0], 'port': _SERVICE[1]},
+                        'fou': {
+                            'address': _SERVICE_ADDRESS[0],
+                            'port': _SERVICE_ADDRESS[1],
+                        },
                     },
                     'connections': self.connections,
                     'cold': {
@@ -317,8 +320,8 @@
                     'hosts': {
                         host_name(number): {
                             'data_centre': self.data_centre_of(number),
-                            'address': host_address(number)[0],
-                            'port': host_address(number)[1],
+                            'address': monitored_sidecar_address(number)[0],
+                            'port': monitored_sidecar_address(number)[1],
                             'weight': host_weights.get(number, 1),
                             'state': 'draining'
                             if number in draining
--- a/siskinbank/lab/virtual_fleet.py
+++ b/siskinbank/lab/virtual_fleet.py
@@ -116,9 +116,10 @@
 
 
 class VirtualReader:
-    """Reads the platform for one process, when the product would read it.
+    """Reads the platform for one process, at the times of a real process.
 
-    The product's own functions give the rank and the interval.
+    The rank and the interval are computed by the functions of
+    ``siskinbank.peers.readers``.
     """
 
     def __init__(self, node: VirtualNode, platform: VirtualPlatform) -> None:
--- a/siskinbank/lab/virtual_node.py
+++ b/siskinbank/lab/virtual_node.py
@@ -104,7 +104,7 @@
     read_section: Callable[[str], bytes],
     findings: Findings,
 ) -> Site | None:
-    """Validate as the product does, but each document once for all nodes.
+    """Validate as a real process does, but each document once for all nodes.
 
     The findings of the first validation are repeated to the other nodes.
     """
--- a/tests/lab/test_flows.py
+++ b/tests/lab/test_flows.py
@@ -10,7 +10,7 @@
 
 
 class TestFlowRun(unittest.TestCase):
-    """A small run; tests/sidecar names the seeds of earlier failures."""
+    """A small run; tests/sidecar lists the seeds of earlier failures."""
 
     def test_planned_changes_break_no_flow(self) -> None:
         """All kinds of changes are made while control datagrams are lost."""
--- a/tests/lab/test_real_join.py
+++ b/tests/lab/test_real_join.py
@@ -54,7 +54,7 @@
 
     async def _restart_entry(self, fleet: Fleet) -> None:
         async with aiohttp.ClientSession() as session:
-            url = f'{fleet.platform}/admin/down'
+            url = f'{fleet.platform_url}/admin/down'
             async with session.put(url, data='true') as put:
                 self.assertEqual(put.status, 204)
         fleet.processes.signal('entry-1', signal.SIGKILL)
