--- a/siskinbank/admission/balance.py
+++ b/siskinbank/admission/balance.py
@@ -54,7 +54,7 @@
         """The other hosts of the pool that accept new work."""
         return list(self._hosts.values())
 
-    def follow(self, hosts: Iterable[Host]) -> None:
+    def update_hosts(self, hosts: Iterable[Host]) -> None:
         """Set the other hosts that accept new work."""
         self._hosts = {host.seed: host for host in hosts}
         self._addresses = {
--- a/siskinbank/admission/upstream.py
+++ b/siskinbank/admission/upstream.py
@@ -27,7 +27,7 @@
         self.connections.restart()
         self.slots.restart()
 
-    def follow(self, service: Service) -> None:
+    def apply_configuration(self, service: Service) -> None:
         """Apply a changed configuration."""
         cold = service.cold
         warm_up = cold.warm_up_seconds
--- a/siskinbank/choice/router.py
+++ b/siskinbank/choice/router.py
@@ -41,7 +41,7 @@
         self._view = view
         self._ranks: dict[int, PoolRanks] = {}
         self._allowed: frozenset[bytes] = frozenset()
-        self._out: frozenset[bytes] = frozenset()
+        self._evacuated: frozenset[bytes] = frozenset()
         view.subscribe(self._refresh)
 
     def ranks(self, service: Service) -> PoolRanks:
@@ -70,7 +70,10 @@
         """
         if address in self._allowed:
             return True
-        return generation > self._view.generation and address not in self._out
+        return (
+            generation > self._view.generation
+            and address not in self._evacuated
+        )
 
     def _prepare(self, service: Service, old: PoolRanks | None) -> PoolRanks:
         site = self._view.site
@@ -110,7 +113,7 @@
         }
         gone = self._view.gone
         self._allowed = _addresses(site, gone, out=False)
-        self._out = _addresses(site, gone, out=True) - self._allowed
+        self._evacuated = _addresses(site, gone, out=True) - self._allowed
 
 
 def _addresses(
--- a/siskinbank/entry/route_cache.py
+++ b/siskinbank/entry/route_cache.py
@@ -4,7 +4,7 @@
 
 from siskinbank.config.site import Address
 
-__all__ = ('Receiver', 'Route', 'RouteCache')
+__all__ = ('OwnerRoute', 'Receiver', 'RouteCache')
 
 
 @dataclass(slots=True)
@@ -21,7 +21,7 @@
 
 
 @dataclass(slots=True)
-class Route:
+class OwnerRoute:
     """The owner of flows and the packed envelope head for their packets."""
 
     receiver: Receiver
@@ -38,14 +38,14 @@
     def __init__(self, size: int) -> None:
         """Create a cache for at most ``size`` flows."""
         self._half = max(size // 2, 1)
-        self._recent: dict[bytes, Route] = {}
-        self._older: dict[bytes, Route] = {}
+        self._recent: dict[bytes, OwnerRoute] = {}
+        self._older: dict[bytes, OwnerRoute] = {}
 
     def __len__(self) -> int:
         """Return the number of cached flows."""
         return len(self._recent) + len(self._older)
 
-    def get(self, flow: bytes) -> Route | None:
+    def get(self, flow: bytes) -> OwnerRoute | None:
         """Return the route of a flow, or None."""
         route = self._recent.get(flow)
         if route is None and self._older:
@@ -54,7 +54,7 @@
                 self.put(flow, route)
         return route
 
-    def put(self, flow: bytes, route: Route) -> None:
+    def put(self, flow: bytes, route: OwnerRoute) -> None:
         """Add or replace the route of a flow."""
         self._older.pop(flow, None)
         self._recent[flow] = route
--- a/siskinbank/ingress/fou.py
+++ b/siskinbank/ingress/fou.py
@@ -6,7 +6,7 @@
 from siskinbank.config.site import Address, Service
 from siskinbank.entry.context import EntryContext
 from siskinbank.entry.owner_searches import OwnerSearches
-from siskinbank.entry.route_cache import Receiver, Route, RouteCache
+from siskinbank.entry.route_cache import OwnerRoute, Receiver, RouteCache
 from siskinbank.ingress.registry import (
     IngressHandle,
     IngressPlugin,
@@ -53,7 +53,7 @@
         )
         self._own_address = pack_address(context.settings.bind)
         self._routes = RouteCache(_CACHED_FLOWS)
-        self._routes_by_owner: dict[tuple[bytes, int, int], Route] = {}
+        self._routes_by_owner: dict[tuple[bytes, int, int], OwnerRoute] = {}
         self._searches = OwnerSearches()
         self._receivers: dict[bytes, Receiver] = {}
         self._services: dict[tuple[bytes, int], Service] = {}
@@ -176,7 +176,7 @@
             raw,
         )
 
-    def _route_to(self, owner: Owner, service: Service) -> Route:
+    def _route_to(self, owner: Owner, service: Service) -> OwnerRoute:
         """Return the route to an owner, shared by all its flows."""
         key = (owner.address, service.ident, owner.incarnation)
         route = self._routes_by_owner.get(key)
@@ -184,7 +184,7 @@
         if route is None:
             head = self._envelope(service, b'', OWNER_NAMED, (receiver.packed,))
             head.incarnation = owner.incarnation
-            route = Route(receiver, head.pack_head())
+            route = OwnerRoute(receiver, head.pack_head())
             if len(self._routes_by_owner) >= _MAX_OWNER_ROUTES:
                 self._routes_by_owner.clear()
             self._routes_by_owner[key] = route
--- a/siskinbank/lab/faulty_link.py
+++ b/siskinbank/lab/faulty_link.py
@@ -14,7 +14,7 @@
 from siskinbank.config.site import Address
 from siskinbank.wire.messages import Message, decode
 
-__all__ = ('Fault', 'FaultyLink', 'LinkFaults')
+__all__ = ('FaultyLink', 'FrameFault', 'LinkFaults')
 
 #: Length of the message in bytes, and its sequence number.
 _HEADER = struct.Struct('!IQ')
@@ -35,7 +35,7 @@
     delay: float = 0
 
 
-class Fault(enum.StrEnum):
+class FrameFault(enum.StrEnum):
     """The fault of one frame."""
 
     lose = 'lose'
@@ -46,7 +46,7 @@
 
 #: Chooses the fault of a frame, by its message and whether it goes to the
 #: target.
-Script = Callable[[Message, bool], Fault | None]
+Script = Callable[[Message, bool], FrameFault | None]
 
 
 class FaultyLink:
@@ -172,10 +172,10 @@
             if self.faults.delay:
                 await asyncio.sleep(self._rng.uniform(0, self.faults.delay))
             fault = self._choose_fault(frame, to_target=to_target)
-            if fault is Fault.cut:
+            if fault is FrameFault.cut:
                 writer.transport.abort()
                 return
-            if fault is Fault.reorder and not delayed:
+            if fault is FrameFault.reorder and not delayed:
                 delayed = frame
                 continue
             writer.write(_apply_fault(frame, fault) + delayed)
@@ -183,14 +183,16 @@
             await writer.drain()
         writer.write(delayed)
 
-    def _choose_fault(self, frame: bytes, *, to_target: bool) -> Fault | None:
+    def _choose_fault(
+        self, frame: bytes, *, to_target: bool
+    ) -> FrameFault | None:
         if self.script is not None:
             return self.script(decode(frame[_HEADER.size :]), to_target)
         chances = (
-            (Fault.cut, self.faults.cut),
-            (Fault.lose, self.faults.lose),
-            (Fault.double, self.faults.double),
-            (Fault.reorder, self.faults.reorder),
+            (FrameFault.cut, self.faults.cut),
+            (FrameFault.lose, self.faults.lose),
+            (FrameFault.double, self.faults.double),
+            (FrameFault.reorder, self.faults.reorder),
         )
         draw = self._rng.random()
         for fault, chance in chances:
@@ -210,11 +212,11 @@
         return header + await reader.readexactly(size)
 
 
-def _apply_fault(frame: bytes, fault: Fault | None) -> bytes:
+def _apply_fault(frame: bytes, fault: FrameFault | None) -> bytes:
     """Return the bytes to send for a frame."""
-    if fault is Fault.lose:
+    if fault is FrameFault.lose:
         return b''
-    return frame + frame if fault is Fault.double else frame
+    return frame + frame if fault is FrameFault.double else frame
 
 
 async def _cancel(*tasks: asyncio.Task[None]) -> None:
--- a/siskinbank/sidecar/context.py
+++ b/siskinbank/sidecar/context.py
@@ -114,7 +114,7 @@
                 _SWEEP_INTERVAL_SECONDS,
                 self.admission.flow_suspension.sweep,
             )
-        self.admission.limits.follow(self.service)
+        self.admission.limits.apply_configuration(self.service)
         # The upstream counts as cold when its data centre returns to service.
         if self._was_out_of_service and not self.is_out:
             self.admission.health_monitor.note_cold()
--- a/siskinbank/sidecar/load_exchange.py
+++ b/siskinbank/sidecar/load_exchange.py
@@ -90,7 +90,7 @@
         if site is None or service is None:
             return
         leaving = self._context.view.leaving
-        self.loads.follow(
+        self.loads.update_hosts(
             host
             for host in service.hosts
             if site.accepts_work(host)
--- a/tests/admission/test_balance.py
+++ b/tests/admission/test_balance.py
@@ -23,7 +23,7 @@
     """Return a load table of the hosts, and its clock."""
     clock = FakeClock(100)
     known = PoolLoads(clock)
-    known.follow(HOSTS)
+    known.update_hosts(HOSTS)
     for host, load in zip(HOSTS, loads, strict=False):
         known.note(host.seed, load, room, 0)
     known.refresh()
--- a/tests/entry/test_route_cache.py
+++ b/tests/entry/test_route_cache.py
@@ -2,15 +2,15 @@
 
 import unittest
 
-from siskinbank.entry.route_cache import Receiver, Route, RouteCache
+from siskinbank.entry.route_cache import OwnerRoute, Receiver, RouteCache
 
 
 def _flow(number: int) -> bytes:
     return number.to_bytes(13, 'big')
 
 
-def _route() -> Route:
-    return Route(Receiver(b'', ('10.0.0.1', 1), 1), b'')
+def _route() -> OwnerRoute:
+    return OwnerRoute(Receiver(b'', ('10.0.0.1', 1), 1), b'')
 
 
 USED_ROUTE = _route()
--- a/tests/sidecar/test_execution_claims.py
+++ b/tests/sidecar/test_execution_claims.py
@@ -5,7 +5,7 @@
 from collections import Counter
 from collections.abc import Awaitable, Callable
 
-from siskinbank.lab.faulty_link import Fault, LinkFaults
+from siskinbank.lab.faulty_link import FrameFault, LinkFaults
 from siskinbank.lab.request_rig import RequestRig, RigHost, wait_until
 from siskinbank.sidecar.primary_hosts import SETTLE_SECONDS
 from siskinbank.wire.messages import Message
@@ -26,11 +26,11 @@
 Change = Callable[[RequestRig, RigHost], Awaitable[None]]
 
 
-def fail_first(step: tuple[type[Message], bool], fault: Fault) -> object:
+def fail_first(step: tuple[type[Message], bool], fault: FrameFault) -> object:
     """Return a script that applies a fault to the first message of a step."""
     done = False
 
-    def script(sent: Message, to_target: bool) -> Fault | None:
+    def script(sent: Message, to_target: bool) -> FrameFault | None:
         nonlocal done
         if done or not isinstance(sent, step[0]) or to_target is not step[1]:
             return None
@@ -46,7 +46,7 @@
     async def check(
         self,
         step: tuple[type[Message], bool],
-        fault: Fault,
+        fault: FrameFault,
     ) -> None:
         """Send one ticket twice over a link with one fault."""
         async with running_rig(entries=2, hosts=1) as rig:
@@ -55,7 +55,7 @@
             link.script = fail_first(step, fault)  # type: ignore[assignment]
             # A doubled message causes no delay, so the request must be answered
             # in time.
-            doubled = fault is Fault.double
+            doubled = fault is FrameFault.double
             deadline = LONG_DEADLINE if doubled else SHORT_DEADLINE
             first = await self.send(rig, 0, ticket, deadline)
             again = await self.send(rig, 1, ticket, deadline)
@@ -69,7 +69,7 @@
                     self.assertEqual(body, BODY)
                 if outcome == 'not-run':
                     self.assertEqual(runs, 0)
-            if fault is Fault.double:
+            if fault is FrameFault.double:
                 self.assertEqual(first[0], 'answered')
 
     async def send(
@@ -85,7 +85,7 @@
 
     async def test_faults(self) -> None:
         """At most one run, no run after a refusal, complete answers."""
-        cases = list(itertools.product(STEPS, Fault))
+        cases = list(itertools.product(STEPS, FrameFault))
         checks = [self.check(step, fault) for step, fault in cases]
         results = await asyncio.gather(*checks, return_exceptions=True)
         for case, result in zip(cases, results, strict=True):
